--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -1,7 +1,11 @@
-// Package placement chooses the engine of a request. The load pattern it answers: prompts share long prefixes, a prefix
-// that an engine has read lately costs nothing there, reading the rest delays the tokens of all that run on the engine,
-// and the VMs that choose don't see each other's sends. So all VMs rank the engines of a session in one order, by hash,
-// and leave the first one only for one that is expected to be done sooner by their own sends. It is pure.
+// Package placement ranks the model engines that may run a request.
+//
+// Prompts share long prefixes. An engine that has a prefix in its cache doesn't compute it again, while prefilling the
+// rest of a prompt slows down every request that runs on the engine. VMs don't know what the other VMs send. Therefore
+// all VMs derive the same order of engines for a session, by hashing, and deviate from its first engine only when their
+// own requests in flight make another one cheaper.
+//
+// The package does no I/O and reads no clock: callers pass the time.
 package placement
 
 import (
@@ -14,56 +18,59 @@
 	"github.com/daisyhatch/daisyhatch/pkg/dialect"
 )
 
-// Costs in tokens that an engine reads in the same time.
+// Costs, as the number of prompt tokens that an engine could prefill in the same time.
 const (
-	// runTokens is what a running request costs the others: each step of the batch takes longer by it.
-	runTokens = 350
-	// remoteTokensPerMB is for inputs that cross failure domains: the sites price 1 MB like 370 tokens that are read again.
-	remoteTokensPerMB = 370
-	// rankTokens is what leaving a session's engine costs later on: about its shared part, which is read again. The next
-	// engine in the session's order is used only when the one before is busier by this much.
-	rankTokens = 4500
-	// readingShare weighs the tokens that an engine has yet to read for this VM: waiting for them costs time, reading a
-	// shared part again elsewhere costs the whole system.
-	readingShare = 0.3
-	// slowTokens is what each unit of slowness beyond the usual costs.
-	slowTokens = 4000
-	// coldTokens is for an engine that bears little load.
-	coldTokens = 8000
-	// memoryTokens is the cost of an engine whose memory is full by own sends.
-	memoryTokens = 20000
+	// runningCost is the cost of each request that runs on the engine: it lengthens every decoding step of the batch.
+	runningCost = 350
+	// remoteCostPerMB is the cost of each MB of input that crosses failure domains: the sites charge 1 MB as much as
+	// prefilling 370 tokens again.
+	remoteCostPerMB = 370
+	// affinityCost is the cost of leaving the first engine of a session's order: about the session's shared prefix, which
+	// another engine has to prefill again. A quarter of it is added for each position in the order.
+	affinityCost = 4500
+	// prefillWeight is the weight of the tokens that an engine still has to prefill for this VM. It is below 1 since
+	// waiting for them delays one request only, while prefilling a shared prefix on another engine uses up capacity.
+	prefillWeight = 0.3
+	// slownessCost is the cost of each unit of Engine.Slowness above 1.
+	slownessCost = 4000
+	// coldCost is the cost of an engine that is still cold and takes little load.
+	coldCost = 8000
+	// memoryCost is the cost of an engine whose token memory this VM's requests would overfill.
+	memoryCost = 20000
 )
 
-// keptPrefix is how long an engine is expected to keep a part that was sent to it.
-const keptPrefix = 20 * time.Second
+// prefixTTL is how long an engine is expected to cache a prompt part after a request with it was sent.
+const prefixTTL = 20 * time.Second
 
-// Engine is one candidate.
+// Engine is an engine that may run the request.
 type Engine struct {
-	ID     string
+	ID string
+	// Domain is the engine's failure domain.
 	Domain string
 	Cold   bool
-	// Slowness is the ratio of its time to the first token to the pool's usual one, 1 when nothing is known.
+	// Slowness is the engine's time to the first token divided by the usual one of its pool; 1 when nothing is known.
 	Slowness float64
 }
 
-// Request is what is to be placed.
+// Request describes a request to be placed.
 type Request struct {
+	// Prompt is nil for a request without one.
 	Prompt *dialect.Prompt
-	// InputMB is the size of stage results by failure domain.
+	// InputMB is the size in MB of the stage results that the request reads, by the failure domain that holds them.
 	InputMB map[string]float64
-	// Domain is the VM's own.
+	// Domain is the failure domain of this VM.
 	Domain string
 }
 
-// load is what this VM has on one engine.
+// load is the load that this VM's requests put on one engine.
 type load struct {
-	runs    int
-	reading int
-	tokens  int
-	kept    map[uint64]time.Time
+	running        int
+	prefillTokens  int
+	reservedTokens int
+	cached         map[uint64]time.Time
 }
 
-// Book holds this VM's own sends. It isn't safe for concurrent use.
+// Book tracks this VM's requests in flight by engine. It isn't safe for concurrent use.
 type Book struct {
 	engines map[string]*load
 }
@@ -71,28 +78,28 @@
 // NewBook returns an empty Book.
 func NewBook() *Book { return &Book{engines: make(map[string]*load)} }
 
-// ranked is an engine with its place in a session's order and its cost.
-type ranked struct {
+// scoredEngine is an engine with its hash, which orders the engines of a session, and its cost.
+type scoredEngine struct {
 	engine *Engine
-	rank   uint64
+	hash   uint64
 	cost   float64
 }
 
-// Choose returns the engines from best to worst. memory is one engine's memory in tokens.
+// Choose returns the engines from best to worst. memory is the number of tokens that one engine can hold; 0 for no limit.
 func (b *Book) Choose(r Request, engines []Engine, memory int, now time.Time) []Engine {
 	if len(engines) < 2 {
 		return engines
 	}
-	list := make([]ranked, len(engines))
+	list := make([]scoredEngine, len(engines))
 	key := sessionKey(r.Prompt)
 	for i := range engines {
-		list[i] = ranked{engine: &engines[i], rank: mix(xxhash.Sum64String(engines[i].ID) ^ key)}
+		list[i] = scoredEngine{engine: &engines[i], hash: mix(xxhash.Sum64String(engines[i].ID) ^ key)}
 	}
-	slices.SortFunc(list, func(x, y ranked) int { return cmp.Compare(x.rank, y.rank) })
+	slices.SortFunc(list, func(x, y scoredEngine) int { return cmp.Compare(x.hash, y.hash) })
 	for i := range list {
 		list[i].cost = b.cost(&r, list[i].engine, i, memory, now)
 	}
-	slices.SortStableFunc(list, func(x, y ranked) int { return cmp.Compare(x.cost, y.cost) })
+	slices.SortStableFunc(list, func(x, y scoredEngine) int { return cmp.Compare(x.cost, y.cost) })
 	out := make([]Engine, len(list))
 	for i := range list {
 		out[i] = *list[i].engine
@@ -100,53 +107,53 @@
 	return out
 }
 
-func (b *Book) cost(r *Request, e *Engine, place, memory int, now time.Time) float64 {
-	cost := float64(place) * rankTokens / 4
-	if place > 0 {
-		cost += rankTokens
+func (b *Book) cost(r *Request, e *Engine, position, memory int, now time.Time) float64 {
+	cost := float64(position) * affinityCost / 4
+	if position > 0 {
+		cost += affinityCost
 	}
 	l := b.engines[e.ID]
 	if l != nil {
-		cost += float64(l.reading)*readingShare + float64(l.runs*runTokens)
-		if r.Prompt != nil && memory > 0 && l.tokens+r.Prompt.Tokens > memory {
-			cost += memoryTokens
+		cost += float64(l.prefillTokens)*prefillWeight + float64(l.running*runningCost)
+		if r.Prompt != nil && memory > 0 && l.reservedTokens+r.Prompt.Tokens > memory {
+			cost += memoryCost
 		}
 	}
-	cost += float64(l.missing(r.Prompt, now))
+	cost += float64(l.uncachedTokens(r.Prompt, now))
 	for domain, mb := range r.InputMB {
 		if domain != e.Domain {
-			cost += mb * remoteTokensPerMB
+			cost += mb * remoteCostPerMB
 		}
 	}
 	if e.Slowness > 1 {
-		cost += (e.Slowness - 1) * slowTokens
+		cost += (e.Slowness - 1) * slownessCost
 	}
 	if e.Cold {
-		cost += coldTokens
+		cost += coldCost
 	}
 	return cost
 }
 
-// missing estimates the tokens of a prompt that an engine must read.
-func (l *load) missing(p *dialect.Prompt, now time.Time) int {
+// uncachedTokens estimates how many tokens of a prompt the engine has to prefill. l may be nil.
+func (l *load) uncachedTokens(p *dialect.Prompt, now time.Time) int {
 	if p == nil {
 		return 0
 	}
-	missing := p.Tokens
+	uncachedTokens := p.Tokens
 	for _, part := range p.Parts {
 		if l == nil {
 			break
 		}
-		at, ok := l.kept[part.ID]
-		if !ok || now.Sub(at) > keptPrefix {
+		at, ok := l.cached[part.ID]
+		if !ok || now.Sub(at) > prefixTTL {
 			break
 		}
-		missing -= part.Tokens
+		uncachedTokens -= part.Tokens
 	}
-	return max(missing, 0)
+	return max(uncachedTokens, 0)
 }
 
-// sessionKey names a prompt's session: the last part that it shares.
+// sessionKey identifies the session of a prompt by the last part that its requests share: the last but one.
 func sessionKey(p *dialect.Prompt) uint64 {
 	if p == nil || len(p.Parts) == 0 {
 		return 0
@@ -154,7 +161,7 @@
 	return p.Parts[max(0, len(p.Parts)-2)].ID * 0x9e3779b97f4a7c15
 }
 
-// mix spreads the bits of a hash.
+// mix is the 64-bit finaliser of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -163,66 +170,67 @@
 	return x ^ x>>33
 }
 
-// Sent is a request that was sent to an engine.
+// Sent is a request in flight at an engine.
 type Sent struct {
-	engine  string
-	reading int
-	tokens  int
-	started bool
+	engine         string
+	prefillTokens  int
+	reservedTokens int
+	prefilled      bool
 }
 
-// Send notes that a request goes to an engine.
+// Send records that a request is sent to an engine. p is nil for a request without a prompt.
 func (b *Book) Send(p *dialect.Prompt, engine string, now time.Time) *Sent {
 	l := b.engines[engine]
 	if l == nil {
-		l = &load{kept: make(map[uint64]time.Time)}
+		l = &load{cached: make(map[uint64]time.Time)}
 		b.engines[engine] = l
 	}
 	s := &Sent{engine: engine}
 	if p != nil {
-		s.reading, s.tokens = l.missing(p, now), p.Tokens+p.MaxOutput
+		s.prefillTokens, s.reservedTokens = l.uncachedTokens(p, now), p.Tokens+p.MaxOutput
 		for _, part := range p.Parts {
-			l.kept[part.ID] = now
+			l.cached[part.ID] = now
 		}
 	}
-	l.runs++
-	l.reading += s.reading
-	l.tokens += s.tokens
+	l.running++
+	l.prefillTokens += s.prefillTokens
+	l.reservedTokens += s.reservedTokens
 	return s
 }
 
-// Started notes that the engine has read the prompt.
+// Started records that the engine has prefilled the prompt.
 func (b *Book) Started(s *Sent) {
-	if l := b.engines[s.engine]; l != nil && !s.started {
-		s.started = true
-		l.reading -= s.reading
+	if l := b.engines[s.engine]; l != nil && !s.prefilled {
+		s.prefilled = true
+		l.prefillTokens -= s.prefillTokens
 	}
 }
 
-// Ended notes that the request has left the engine. failed is true when the engine may have lost what it read.
+// Ended records that the request no longer runs on the engine. It must be called once only. With failed, the engine may
+// have lost its cache and is taken to have nothing cached.
 func (b *Book) Ended(s *Sent, failed bool) {
 	b.Started(s)
 	l := b.engines[s.engine]
 	if l == nil {
 		return
 	}
-	l.runs--
-	l.tokens -= s.tokens
+	l.running--
+	l.reservedTokens -= s.reservedTokens
 	if failed {
-		clear(l.kept)
+		clear(l.cached)
 	}
 }
 
-// Retain drops engines that are not in use any more and parts that are too old to be kept.
+// Retain drops idle engines for which keep returns false, and cached parts older than prefixTTL.
 func (b *Book) Retain(keep func(engine string) bool, now time.Time) {
 	for id, l := range b.engines {
-		if !keep(id) && l.runs == 0 {
+		if !keep(id) && l.running == 0 {
 			delete(b.engines, id)
 			continue
 		}
-		for part, at := range l.kept {
-			if now.Sub(at) > keptPrefix {
-				delete(l.kept, part)
+		for part, at := range l.cached {
+			if now.Sub(at) > prefixTTL {
+				delete(l.cached, part)
 			}
 		}
 	}
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -26,32 +26,32 @@
 	}}
 }
 
-func first(b *Book, p *dialect.Prompt, list []Engine) string {
+func bestEngine(b *Book, p *dialect.Prompt, list []Engine) string {
 	return b.Choose(Request{Prompt: p, Domain: "a"}, list, 380_000, now)[0].ID
 }
 
-// Sessions at a steady load: every VM sends a session to the same engine, and the sessions spread.
-func TestVMsAgreeOnASessionsEngine(t *testing.T) {
+// Two VMs without requests in flight choose the same engine for a session, and sessions spread over all engines.
+func TestVMsAgreeOnTheEngineOfASession(t *testing.T) {
 	list := engines(12)
 	counts := map[string]int{}
 	for s := range uint64(400) {
 		a, b := NewBook(), NewBook()
-		e := first(a, prompt(s, 1), list)
-		require.Equal(t, e, first(b, prompt(s, 2), list))
+		e := bestEngine(a, prompt(s, 1), list)
+		require.Equal(t, e, bestEngine(b, prompt(s, 2), list))
 		counts[e]++
 	}
 	require.Len(t, counts, 12)
 	for e, n := range counts {
-		require.Less(t, n, 70, "%s of 33 on average", e)
+		require.Less(t, n, 70, "sessions on %s; the average is 33", e)
 	}
 }
 
-// One session gets much of the traffic: the sends beyond what its engine reads in time go elsewhere, to few engines.
-func TestBusyEngineIsLeft(t *testing.T) {
+// One session gets all the traffic: the requests that its engine can't prefill in time go to other engines.
+func TestBusyEngineSpillsOver(t *testing.T) {
 	list, b := engines(12), NewBook()
 	used := map[string]int{}
 	for i := range uint64(24) {
-		e := first(b, prompt(7, i), list)
+		e := bestEngine(b, prompt(7, i), list)
 		used[e]++
 		b.Send(prompt(7, i), e, now)
 	}
@@ -61,47 +61,47 @@
 	}
 }
 
-func TestKeptPrefixCostsNothingAndIsForgotten(t *testing.T) {
+func TestCachedPrefixIsNotCountedUntilItExpires(t *testing.T) {
 	b := NewBook()
 	s := b.Send(prompt(7, 1), "e0", now)
-	require.Equal(t, 2700, b.engines["e0"].missing(prompt(7, 2), now))
-	require.Equal(t, 6500, b.engines["e0"].missing(prompt(8, 2), now), "only the first part is shared")
-	require.Equal(t, 9000, b.engines["e1"].missing(prompt(7, 2), now))
-	require.Equal(t, 9000, b.engines["e0"].missing(prompt(7, 2), now.Add(keptPrefix+time.Second)))
+	require.Equal(t, 2700, b.engines["e0"].uncachedTokens(prompt(7, 2), now))
+	require.Equal(t, 6500, b.engines["e0"].uncachedTokens(prompt(8, 2), now), "only the first part is shared")
+	require.Equal(t, 9000, b.engines["e1"].uncachedTokens(prompt(7, 2), now))
+	require.Equal(t, 9000, b.engines["e0"].uncachedTokens(prompt(7, 2), now.Add(prefixTTL+time.Second)))
 	b.Ended(s, true)
-	require.Equal(t, 9000, b.engines["e0"].missing(prompt(7, 2), now), "an engine that failed kept nothing")
-	require.Zero(t, b.engines["e0"].runs)
-	require.Zero(t, b.engines["e0"].reading)
-	require.Zero(t, b.engines["e0"].tokens)
+	require.Equal(t, 9000, b.engines["e0"].uncachedTokens(prompt(7, 2), now), "an engine that failed has nothing cached")
+	require.Zero(t, b.engines["e0"].running)
+	require.Zero(t, b.engines["e0"].prefillTokens)
+	require.Zero(t, b.engines["e0"].reservedTokens)
 }
 
-func TestSlowColdAndRemoteEnginesComeLater(t *testing.T) {
+func TestSlowColdAndRemoteEnginesRankLower(t *testing.T) {
 	list := engines(2)
 	p := prompt(7, 1)
-	best := first(NewBook(), p, list)
-	for name, spoil := range map[string]func(e *Engine){
+	best := bestEngine(NewBook(), p, list)
+	for name, degrade := range map[string]func(e *Engine){
 		"slow": func(e *Engine) { e.Slowness = 4 },
 		"cold": func(e *Engine) { e.Cold = true },
 	} {
 		changed := engines(2)
 		for i := range changed {
 			if changed[i].ID == best {
-				spoil(&changed[i])
+				degrade(&changed[i])
 			}
 		}
-		require.NotEqual(t, best, first(NewBook(), p, changed), name)
+		require.NotEqual(t, best, bestEngine(NewBook(), p, changed), name)
 	}
 	other := list[0].Domain
 	if list[0].ID == best {
 		other = list[1].Domain
 	}
 	r := Request{Prompt: p, InputMB: map[string]float64{other: 20}}
-	require.NotEqual(t, best, NewBook().Choose(r, list, 0, now)[0].ID, "20 MB of results, whose crossing costs more than reading the session again, lie with the other engine")
+	require.NotEqual(t, best, NewBook().Choose(r, list, 0, now)[0].ID, "moving 20 MB of inputs out of the other engine's failure domain costs more than prefilling the session again")
 }
 
-func TestFullMemoryIsAvoided(t *testing.T) {
+func TestEngineWithFullMemoryRanksLower(t *testing.T) {
 	list, b := engines(2), NewBook()
-	best := first(b, prompt(7, 1), list)
+	best := bestEngine(b, prompt(7, 1), list)
 	for i := range uint64(4) {
 		b.Started(b.Send(prompt(7, i), best, now))
 	}
