--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -1,5 +1,6 @@
-// Package allowance splits what all VMs together may send to a server or a service into shares that each VM keeps by
-// itself, so that the sum holds also while VMs can't hear one another. It is pure: the time comes in as an argument.
+// Package allowance splits a limit that applies to all VMs together, such as the requests to a server or the retries of
+// a service, into one share per VM. Each VM enforces its share by itself, so the limit holds also while VMs can't reach
+// one another. The package does no I/O and reads no clock: callers pass the time.
 package allowance
 
 import (
@@ -11,33 +12,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// used is the share of a bound that is handed out: sends of one second may arrive in another.
-const used = 0.8
+// utilisation is the fraction of a limit that is handed out. The rest is a margin, since requests sent in different
+// seconds may arrive in the same one.
+const utilisation = 0.8
 
-// Share returns how many of total units VM own may use, when vms are the ids of all VMs. Units that don't divide evenly go
-// to the VMs that a hash of key and id puts first, so that every VM knows the holders. A VM that is not in vms gets
-// nothing.
+// Share returns how many of total units the VM with the id own may use, where vms are the ids of all VMs and key names
+// what the limit applies to. Units that don't divide evenly go to the VMs that come first by a hash of key and id, so
+// that all VMs agree on who gets them. The result is 0 for a VM that is not in vms.
 func Share(total float64, key string, own uint64, vms []uint64) int {
-	units := int(total * used)
+	units := int(total * utilisation)
 	n := len(vms)
 	if n == 0 || !slices.Contains(vms, own) {
 		return 0
 	}
-	share, rest := units/n, units%n
+	share, remainder := units/n, units%n
 	seed := xxhash.Sum64String(key)
-	mine, before := rank(seed, own), 0
+	ownRank, ahead := rank(seed, own), 0
 	for _, id := range vms {
-		if r := rank(seed, id); r < mine || r == mine && id < own {
-			before++
+		if r := rank(seed, id); r < ownRank || r == ownRank && id < own {
+			ahead++
 		}
 	}
-	if before < rest {
+	if ahead < remainder {
 		share++
 	}
 	return share
 }
 
-// rank orders the VMs that get the units that don't divide evenly.
+// rank returns the hash by which VMs are ordered for the units that don't divide evenly.
 func rank(seed, id uint64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], seed)
@@ -53,73 +55,75 @@
 	events map[string][]time.Time
 }
 
-// NewWindow returns a Window of the length given.
+// NewWindow returns an empty Window of the given length.
 func NewWindow(length time.Duration) *Window {
 	return &Window{length: length, events: make(map[string][]time.Time)}
 }
 
-// Count returns the events of a key within the window that ends now.
+// Count returns the number of events of a key within the window that ends at now.
 func (w *Window) Count(key string, now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.recent(key, now))
 }
 
-// Take adds an event unless the window holds limit events already.
+// Take adds an event unless the window holds limit events of the key already. It reports whether it added one.
 func (w *Window) Take(key string, limit int, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	list := w.recent(key, now)
-	if len(list) >= limit {
+	times := w.recent(key, now)
+	if len(times) >= limit {
 		return false
 	}
-	w.events[key] = append(list, now)
+	w.events[key] = append(times, now)
 	return true
 }
 
-// Add adds an event.
+// Add adds an event whether or not a limit is reached.
 func (w *Window) Add(key string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events[key] = append(w.recent(key, now), now)
 }
 
+// recent drops the events of a key that have left the window and returns the others; w.mu is held.
 func (w *Window) recent(key string, now time.Time) []time.Time {
-	list := w.events[key]
+	times := w.events[key]
 	i := 0
-	for i < len(list) && now.Sub(list[i]) >= w.length {
+	for i < len(times) && now.Sub(times[i]) >= w.length {
 		i++
 	}
-	if i == len(list) {
+	if i == len(times) {
 		delete(w.events, key)
 		return nil
 	}
 	if i > 0 {
-		list = list[i:]
-		w.events[key] = list
+		times = times[i:]
+		w.events[key] = times
 	}
-	return list
+	return times
 }
 
-// Repeats bounds the sends beyond the first of each request, for each service, in a window over all VMs: ratio times the
-// requests and extra.
+// Repeats is a retry budget for each service. In a sliding window, all VMs together may send requests again at most
+// ratio times the number of requests, plus extra.
 type Repeats struct {
 	ratio    float64
 	extra    float64
 	requests *Window
-	repeats  *Window
+	retries  *Window
 }
 
-// NewRepeats returns Repeats for a window.
+// NewRepeats returns a retry budget over a window of the given length.
 func NewRepeats(ratio float64, extra float64, window time.Duration) *Repeats {
-	return &Repeats{ratio: ratio, extra: extra, requests: NewWindow(window), repeats: NewWindow(window)}
+	return &Repeats{ratio: ratio, extra: extra, requests: NewWindow(window), retries: NewWindow(window)}
 }
 
 // Request counts a request for a service.
 func (r *Repeats) Request(service string, now time.Time) { r.requests.Add(service, now) }
 
-// Allow takes one repeat out of this VM's share; entries is how many VMs share the extra.
+// Allow takes one retry out of this VM's share and reports whether one was left; entries is the number of VMs that
+// share extra.
 func (r *Repeats) Allow(service string, entries int, now time.Time) bool {
 	limit := r.ratio*float64(r.requests.Count(service, now)) + r.extra/float64(max(entries, 1))
-	return r.repeats.Take(service, int(limit*used), now)
+	return r.retries.Take(service, int(limit*utilisation), now)
 }
--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -10,24 +10,24 @@
 	"pgregory.net/rapid"
 )
 
-func TestSharesNeverAddUpToMoreThanTheBound(t *testing.T) {
+func TestSharesNeverExceedTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Float64Range(0, 300).Draw(t, "total")
-		var names []uint64
+		var ids []uint64
 		for i := range rapid.IntRange(1, 90).Draw(t, "VMs") {
-			names = append(names, xxhash.Sum64String(fmt.Sprint("vm", i)))
+			ids = append(ids, xxhash.Sum64String(fmt.Sprint("vm", i)))
 		}
 		sum, least, most := 0, 1<<30, 0
-		for _, n := range names {
-			s := Share(total, "server", n, names)
+		for _, n := range ids {
+			s := Share(total, "server", n, ids)
 			sum += s
 			least, most = min(least, s), max(most, s)
 		}
 		if float64(sum) > total || most-least > 1 {
-			t.Fatalf("%d of %f handed out, from %d to %d", sum, total, least, most)
+			t.Fatalf("shares add up to %d of %f and range from %d to %d; want at most the total and a difference of 1 at most", sum, total, least, most)
 		}
-		if sum != int(total*used) {
-			t.Fatalf("%d of %d units handed out", sum, int(total*used))
+		if sum != int(total*utilisation) {
+			t.Fatalf("shares add up to %d units, want %d", sum, int(total*utilisation))
 		}
 	})
 }
@@ -47,22 +47,22 @@
 	require.Equal(t, 2, w.Count("k", now.Add(time.Second)))
 }
 
-// Seven VMs at which every request fails: together they stay below the ratio and the extra in every window.
-func TestRepeatsOfAllVMsStayWithinTheBudget(t *testing.T) {
+// Seven VMs retry as often as they may. Their retries together stay within the budget in every window.
+func TestRetriesOfAllVMsStayWithinTheBudget(t *testing.T) {
 	const vms, ratio, extra = 7, 0.2, 54
 	window := 10 * time.Second
-	var all []*Repeats
+	var budgets []*Repeats
 	for range vms {
-		all = append(all, NewRepeats(ratio, extra, window))
+		budgets = append(budgets, NewRepeats(ratio, extra, window))
 	}
 	now := time.Unix(100, 0)
 	requests, repeats := NewWindow(window), NewWindow(window)
 	for i := range 20_000 {
 		now = now.Add(5 * time.Millisecond)
-		r := all[i*i%vms]
-		r.Request("s", now)
+		budget := budgets[i*i%vms]
+		budget.Request("s", now)
 		requests.Add("s", now)
-		for r.Allow("s", vms, now) {
+		for budget.Allow("s", vms, now) {
 			repeats.Add("s", now)
 		}
 		require.LessOrEqual(t, float64(repeats.Count("s", now)), ratio*float64(requests.Count("s", now))+extra)
