--- a/pkg/holdoff/holdoff.go
+++ b/pkg/holdoff/holdoff.go
@@ -1,5 +1,6 @@
-// Package holdoff keeps what backend servers say of themselves in their answers: that they leave, and for how long they
-// want no calls from this VM. It is pure: the time comes in as an argument.
+// Package holdoff records what backend servers say in their responses about taking further calls: that they are shutting
+// down, or for how long they want no calls from this VM. The package does no I/O and reads no clock: callers pass the
+// time.
 package holdoff
 
 import (
@@ -10,23 +11,24 @@
 )
 
 const (
-	// maxWait bounds what a server may ask for.
+	// maxWait is the longest wait that a server may ask for.
 	maxWait = time.Hour
-	// keptUnknown is how long the word of a server is kept that is not known any more: longer than late announcements of
-	// it are under way.
-	keptUnknown = 90 * time.Second
+	// unknownRetention is how long the record of a server is kept after the server is no longer known: longer than a
+	// delayed announcement may take to arrive, so that the announcement doesn't make a leaving server available again.
+	unknownRetention = 90 * time.Second
 )
 
-// Notice is what an answer says of its server.
+// Notice is what a response says about the server's availability.
 type Notice struct {
-	// Leaving is true when the server is about to end.
+	// Leaving is true when the server is shutting down.
 	Leaving bool
-	// Wait is for how long the server wants no calls; 0 when it does not say.
+	// Wait is how long the server wants no calls; 0 when it doesn't say.
 	Wait time.Duration
 }
 
-// Parse reads the notice of an answer: leaving names the header that says that the server leaves, and one that turned the
-// call away with 503 may tell a time in seconds in Retry-After. What can't be read says nothing.
+// Parse returns the notice in the status and header of a response. leaving is the name of the header whose value 1 means
+// that the server is shutting down. Retry-After, in seconds, counts only with status 503. Values that can't be parsed are
+// ignored.
 func Parse(status int, h http.Header, leaving string) Notice {
 	n := Notice{Leaving: h.Get(leaving) == "1"}
 	if status == http.StatusServiceUnavailable {
@@ -35,8 +37,8 @@
 	return n
 }
 
-// RetryAfter reads the seconds of a Retry-After header, fractions included; 0 when there is none, or what it holds is no
-// number of seconds.
+// RetryAfter returns the duration in a Retry-After header, given in seconds with or without a fraction, up to an hour. It
+// returns 0 when the header is missing or isn't a positive number of seconds.
 func RetryAfter(h http.Header) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(h.Get("Retry-After")), 64)
 	if err != nil || !(s > 0) {
@@ -45,59 +47,61 @@
 	return time.Duration(min(s, maxWait.Seconds()) * float64(time.Second))
 }
 
-// Empty reports whether the answer says nothing.
+// Empty reports whether the notice says nothing.
 func (n Notice) Empty() bool { return !n.Leaving && n.Wait <= 0 }
 
-// Book holds the words of all servers. It isn't safe for concurrent use.
-type Book struct{ servers map[string]word }
+// Book holds the latest record of each server, by id. It isn't safe for concurrent use.
+type Book struct{ records map[string]record }
 
-// word is what one incarnation of a server said.
-type word struct {
-	incarnation string
-	leaving     bool
-	until, at   time.Time
+// record is what one incarnation of a server has said.
+type record struct {
+	incarnation          string
+	leaving              bool
+	waitUntil, updatedAt time.Time
 }
 
 // NewBook returns an empty Book.
-func NewBook() *Book { return &Book{servers: make(map[string]word)} }
+func NewBook() *Book { return &Book{records: make(map[string]record)} }
 
-// Note takes an answer's notice over. A server that leaves does so for good, and a wait is not shortened by a later one. It
-// reports whether the notice changed anything.
+// Note records the notice of a response and reports whether it changed anything. An incarnation that has said that it is
+// leaving stays so, and a later notice doesn't shorten a wait. A wait is cut off at an hour.
 func (b *Book) Note(server, incarnation string, n Notice, now time.Time) bool {
 	if n.Empty() {
 		return false
 	}
-	w, known := b.servers[server]
+	w, known := b.records[server]
 	if !known || w.incarnation != incarnation {
-		w = word{incarnation: incarnation}
+		w = record{incarnation: incarnation}
 	}
 	before := w
-	w.at = now
+	w.updatedAt = now
 	w.leaving = w.leaving || n.Leaving
-	if until := now.Add(min(n.Wait, maxWait)); n.Wait > 0 && until.After(w.until) {
-		w.until = until
+	if waitUntil := now.Add(min(n.Wait, maxWait)); n.Wait > 0 && waitUntil.After(w.waitUntil) {
+		w.waitUntil = waitUntil
 	}
-	b.servers[server] = w
-	return w.leaving != before.leaving || w.until != before.until
+	b.records[server] = w
+	return w.leaving != before.leaving || w.waitUntil != before.waitUntil
 }
 
-// Open reports whether an incarnation of a server takes calls, as far as its answers say.
+// Open reports whether an incarnation of a server takes calls, as far as its responses say.
 func (b *Book) Open(server, incarnation string, now time.Time) bool {
-	w, known := b.servers[server]
-	return !known || w.incarnation != incarnation || !w.leaving && !now.Before(w.until)
+	w, known := b.records[server]
+	return !known || w.incarnation != incarnation || !w.leaving && !now.Before(w.waitUntil)
 }
 
-// Back returns when an incarnation that wants no calls takes them again; false for one that is open, and for one that leaves.
+// Back returns when an incarnation that wants no calls takes them again. It returns false for one that takes calls now
+// and for one that is leaving.
 func (b *Book) Back(server, incarnation string, now time.Time) (time.Time, bool) {
-	w := b.servers[server]
-	return w.until, !b.Open(server, incarnation, now) && !w.leaving
+	w := b.records[server]
+	return w.waitUntil, !b.Open(server, incarnation, now) && !w.leaving
 }
 
-// Retain drops the words of servers that are not known any more.
+// Retain drops the records of servers for which known returns false, once their wait is over and unknownRetention has
+// passed since the last notice.
 func (b *Book) Retain(known func(server string) bool, now time.Time) {
-	for id, w := range b.servers {
-		if !known(id) && now.Sub(w.at) > keptUnknown && now.After(w.until) {
-			delete(b.servers, id)
+	for id, w := range b.records {
+		if !known(id) && now.Sub(w.updatedAt) > unknownRetention && now.After(w.waitUntil) {
+			delete(b.records, id)
 		}
 	}
 }
