--- a/pkg/liveness/liveness.go
+++ b/pkg/liveness/liveness.go
@@ -1,5 +1,5 @@
-// Package liveness finds out what became of backend servers whose answers did not come: whether they ended, leave as they
-// announced, are silent, or only lost a connection.
+// Package liveness finds out why a backend server didn't respond: whether its process ended, it is leaving as it
+// announced, it is unreachable, or only the connection broke.
 package liveness
 
 import (
@@ -14,76 +14,78 @@
 	"github.com/daisyhatch/daisyhatch/pkg/upstream"
 )
 
-// State is what is known of a server that did not answer.
+// State is the state of a server that didn't respond.
 type State string
 
 // States.
 const (
-	// Reachable servers take new connections: only the call's connection broke.
+	// Reachable servers accept new connections: only the connection of the call broke.
 	Reachable State = "reachable"
-	// Ended servers refuse connections, or another incarnation took their place.
+	// Ended servers refuse connections, or another incarnation has replaced them.
 	Ended State = "ended"
-	// Leaving servers ended as they had announced.
+	// Leaving servers have announced that they are draining or gone.
 	Leaving State = "leaving"
-	// Silent servers neither take connections nor refuse them.
+	// Silent servers neither accept nor refuse connections.
 	Silent State = "silent"
 )
 
 const (
-	// lookTime bounds the look at a server: some ways to a server of another region and back.
-	lookTime = 100 * time.Millisecond
-	// returnTime is how long a silent server may take to come back: an incarnation that is announced later is not connected
-	// with the call.
-	returnTime     = 15 * time.Second
-	returnInterval = 500 * time.Millisecond
-	// maxAwaited bounds the silent servers that are watched at a time.
-	maxAwaited = 256
+	// probeTimeout is the timeout of a connection attempt: a few round trips to a server of another region.
+	probeTimeout = 100 * time.Millisecond
+	// returnWindow is how long a silent server is polled for a new incarnation. One that is announced later is not taken
+	// as a sign that the call crashed the server.
+	returnWindow = 15 * time.Second
+	pollInterval = 500 * time.Millisecond
+	// maxPolled is the largest number of silent servers polled at the same time; further ones are not polled.
+	maxPolled = 256
 )
 
-// Checker looks at servers. It is safe for concurrent use.
+// Checker checks servers that didn't respond. It is safe for concurrent use.
 type Checker struct {
 	pool *upstream.Pool
-	// server returns what is known of a server; false when nothing is.
-	server  func(id string) (directory.Server, bool)
-	awaited atomic.Int32
+	// lookup returns the newest announcement of a server; false when the server is unknown.
+	lookup func(id string) (directory.Server, bool)
+	polled atomic.Int32
 }
 
-// New returns a Checker that makes its connections with pool and asks server for what is known.
-func New(pool *upstream.Pool, server func(id string) (directory.Server, bool)) *Checker {
-	return &Checker{pool: pool, server: server}
+// New returns a Checker that connects through pool. lookup returns the newest announcement of a server, or false when
+// the server is unknown.
+func New(pool *upstream.Pool, lookup func(id string) (directory.Server, bool)) *Checker {
+	return &Checker{pool: pool, lookup: lookup}
 }
 
-// Target names a server's incarnation.
+// Target returns the engine target for the server's incarnation.
 func Target(v directory.Server) engine.Target {
 	return engine.Target{Server: v.ID, Incarnation: v.Incarnation()}
 }
 
-// Look returns the state of a server, as it was when the call was made, and counts its end against the runs that were on
-// it: that of one which was silent once another incarnation has taken its place.
+// Look returns the state of the incarnation v of a server, and counts a crash against runs, the requests that were on it,
+// when the incarnation has ended. A silent server is polled in the background, and its crash is counted once another
+// incarnation has replaced it.
 func (c *Checker) Look(ctx context.Context, v directory.Server, runs ...*quarantine.Run) State {
-	state := c.look(ctx, v)
+	state := c.probe(ctx, v)
 	switch state {
 	case Ended:
-		crashed(runs)
+		reportCrashes(runs)
 	case Silent:
 		if len(runs) > 0 {
-			go c.await(v, runs)
+			go c.pollSilent(v, runs)
 		}
 	}
 	return state
 }
 
-func crashed(runs []*quarantine.Run) {
+func reportCrashes(runs []*quarantine.Run) {
 	for _, r := range runs {
 		r.Crashed()
 	}
 }
 
-func (c *Checker) look(ctx context.Context, v directory.Server) State {
+func (c *Checker) probe(ctx context.Context, v directory.Server) State {
 	if s := c.announced(v); s != "" {
 		return s
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lookTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	switch err := c.pool.Reach(ctx, v.Address); {
 	case err == nil:
@@ -95,9 +97,9 @@
 	}
 }
 
-// announced returns what the server's announcements say; empty when they say that it serves.
+// announced returns the state according to the server's announcements; empty when they say that it is ready or nothing.
 func (c *Checker) announced(v directory.Server) State {
-	now, known := c.server(v.ID)
+	now, known := c.lookup(v.ID)
 	switch {
 	case known && now.Born != v.Born:
 		return Ended
@@ -107,17 +109,17 @@
 	return ""
 }
 
-// await watches a silent server until it comes back.
-func (c *Checker) await(v directory.Server, runs []*quarantine.Run) {
-	defer c.awaited.Add(-1)
-	if c.awaited.Add(1) > maxAwaited {
+// pollSilent polls a silent server's announcements until it is replaced or leaves, or returnWindow has passed.
+func (c *Checker) pollSilent(v directory.Server, runs []*quarantine.Run) {
+	defer c.polled.Add(-1)
+	if c.polled.Add(1) > maxPolled {
 		return
 	}
-	for range returnTime / returnInterval {
-		time.Sleep(returnInterval)
+	for range returnWindow / pollInterval {
+		time.Sleep(pollInterval)
 		switch c.announced(v) {
 		case Ended:
-			crashed(runs)
+			reportCrashes(runs)
 			return
 		case Leaving:
 			return
