--- a/pkg/dialect/dialect.go
+++ b/pkg/dialect/dialect.go
@@ -1,5 +1,6 @@
-// Package dialect is what the system asks of a module that speaks a platform's formats. A module translates and decides
-// nothing. Modules register themselves by name; the settings name the one to use.
+// Package dialect defines the interface of the modules that translate between a platform's formats and the system's
+// types. Modules only translate; they make no decisions. Each registers itself under a name, and the settings name the
+// one to use.
 package dialect
 
 import (
@@ -19,41 +20,42 @@
 
 // Errors of this package.
 var (
-	// ErrUnknown means that no module has the name.
+	// ErrUnknown means that no module is registered under the name.
 	ErrUnknown = errors.New("dialect: unknown interface")
-	// ErrFormat means that what came in can't be read.
+	// ErrFormat means that a document, header or body can't be parsed.
 	ErrFormat = errors.New("dialect: bad format")
 )
 
 // Dialect translates between a platform's formats and the system's types. It is safe for concurrent use.
 type Dialect interface {
-	// Catalog reads and checks a configuration document. Errors: ErrFormat, catalog.ErrInvalid.
+	// Catalog parses and checks a configuration document. Errors: ErrFormat, catalog.ErrInvalid.
 	Catalog(document []byte) (*catalog.Set, error)
-	// Call reads the header of a caller's request. Errors: ErrFormat.
+	// Call parses the header of a caller's request. Errors: ErrFormat.
 	Call(h http.Header) (Call, error)
-	// Outgoing returns the header that a backend server gets for a caller's header.
+	// Outgoing returns the header to send to a backend server for an attempt at a request with the caller's header.
 	Outgoing(caller http.Header, a Attempt) http.Header
-	// Answer reads the header of a server's answer.
+	// Answer parses the status and header of a server's response.
 	Answer(status int, h http.Header) Answer
-	// StageCall returns the method, path and body of a call that runs pieces.
+	// StageCall returns the method, path and body of a stage call that runs pieces.
 	StageCall(pieces []Piece) (method, path string, body []byte, err error)
-	// StageResults reads the answer to StageCall: one result for each piece.
+	// StageResults parses the response to StageCall: one result for each piece.
 	StageResults(body []byte) ([]PieceResult, error)
-	// StageFree returns the call that gives results up.
+	// StageFree returns the call that lets a stage server free the results with these handles.
 	StageFree(handles []string) (method, path string, body []byte, err error)
-	// StageReport returns the method and path of the question to a stage server for its state.
+	// StageReport returns the method and path of the call that asks a stage server for its state.
 	StageReport() (method, path string)
-	// StageRoom reads the answer. Errors: ErrFormat.
+	// StageRoom parses the free space out of the response to StageReport. Errors: ErrFormat.
 	StageRoom(body []byte) (Room, error)
-	// TargetHeader returns the header of a call to one server, which other servers at its address refuse.
+	// TargetHeader returns the header of a call that only the given server accepts: another server that has taken over
+	// its address refuses the call. remaining is the time until the deadline.
 	TargetHeader(server string, remaining time.Duration) http.Header
-	// Operators adds the operators' and backend servers' calls.
+	// Operators adds the routes for calls of operators and backend servers.
 	Operators(r chi.Router, c Control)
-	// ReadinessPath is the path of the platform's question whether the VM takes callers.
+	// ReadinessPath returns the path at which the platform asks whether the VM is ready for callers.
 	ReadinessPath() string
 }
 
-// Control is what operators and backend servers may ask for. Errors are those of package fleet.
+// Control handles the calls of operators and backend servers. It returns the errors of package fleet.
 type Control interface {
 	Publish(ctx context.Context, document []byte) (accepted bool, err error)
 	Document(ctx context.Context) (document []byte, version uint64, err error)
@@ -62,85 +64,89 @@
 	Leave(ctx context.Context, id string) error
 }
 
-// Call is what a caller says about a request.
+// Call is what the header of a caller's request says.
 type Call struct {
-	// ID names the caller's attempt.
+	// ID identifies the caller's attempt.
 	ID string
 	// Patience is how long the caller waits; 0 when it doesn't say.
 	Patience time.Duration
 	Key      string
-	// ResumeAfter is the id of the last event that the caller has; empty at the start.
+	// ResumeAfter is the id of the last event that the caller has received; empty for a stream from the start.
 	ResumeAfter string
 	// Prompt is nil for requests without one.
 	Prompt *Prompt
-	// Pieces is the count of pieces of each stage; a stage without pieces is left out.
+	// Pieces is the number of pieces of each stage; a stage without pieces is not run.
 	Pieces   []int
 	PieceKey string
 }
 
-// Prompt describes what an engine reads.
+// Prompt describes the input that an engine prefills.
 type Prompt struct {
 	Model string
-	// Tokens is the length of the prompt, MaxOutput the most tokens generated.
+	// Tokens is the length of the prompt, MaxOutput the largest number of tokens to generate.
 	Tokens, MaxOutput int
-	// OutputHint is the caller's guess of the generated tokens; 0 without one.
+	// OutputHint is the caller's estimate of the number of generated tokens; 0 without one.
 	OutputHint int
-	// Parts are the prompt's parts in order; the last one is the request's or its session's own.
+	// Parts are the prompt's parts in order. The last one belongs to the request or its session alone.
 	Parts []Part
 }
 
-// Part is one part of a prompt.
+// Part is a section of a prompt that other prompts may share. Prompts share it when the ids are equal.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Attempt is one send of a request to a server.
+// Attempt describes one transmission of a request to a server.
 type Attempt struct {
-	// Server is the id of the server that must run it.
-	Server       string
+	// Server is the id of the only server that may run it.
+	Server string
+	// Remaining is the time until the request's deadline.
 	Remaining    time.Duration
 	Organisation string
-	// Inputs are the handles of the stages' results.
+	// Inputs are the handles of the stage results that the request reads.
 	Inputs      []string
 	ResumeAfter string
-	// Urgency is what an engine is told of the request's priority, 0 (first) to 9; negative sets none.
+	// Urgency is the priority given to the engine, from 0 (served first) to 9; a negative value sets none.
 	Urgency int
 }
 
-// Answer is what a server says in the header of an answer.
+// Answer is what the status and header of a server's response say.
 type Answer struct {
-	// CallID is the attempt to which the answer belongs; empty when it doesn't say.
+	// CallID identifies the attempt to which the response belongs; empty when the server doesn't say.
 	CallID string
-	// Signed is true when the server vouches for the answer.
+	// Signed is true when the response carries the server's signature.
 	Signed bool
 	// NotRun is true when the server states that it did not run the request.
 	NotRun bool
-	// Misdirected is true when another server has the address.
+	// Misdirected is true when another server now has the address and refused the request.
 	Misdirected bool
-	// Encoded is true when the body was changed on the way.
+	// Encoded is true when the response has a content encoding: something on the way changed the body.
 	Encoded bool
-	// Load is nil when the server doesn't tell it.
+	// Load is nil when the server doesn't report it.
 	Load *Load
-	// Notice is what the server says of its own time.
+	// Notice says whether the server is shutting down and for how long it wants no calls.
 	Notice holdoff.Notice
 }
 
-// Load is a server's own count.
+// Load is the load that a server reports: running and waiting requests, and the slots for running ones.
 type Load struct{ Running, Waiting, Slots int }
 
-// Piece is one piece of a stage.
+// Piece is one unit of work of a stage.
 type Piece struct {
-	Request   string
-	Stage     int
-	Index     int
+	Request string
+	// Stage is the index of the stage in the route, Index that of the piece in the stage.
+	Stage int
+	Index int
+	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// Key is set for stages that need no other's results, Inputs for others.
+	// Key is set for stages that need no results of other stages; Inputs holds the result handles for the others.
 	Key    string
 	Inputs []string
 }
 
-// Reasons why a piece has no result.
+// Reasons why a piece has no result: its deadline passed, an input was no longer kept, the server had no room for the
+// result, or the stage failed.
 const (
 	ReasonLate  = "late"
 	ReasonGone  = "gone"
@@ -148,10 +154,10 @@
 	ReasonError = "error"
 )
 
-// Room is the room in bytes that is free for results at a stage server: a range, since the server rounds it.
+// Room is the space in bytes that is free for results at a stage server. It is a range, since the server rounds it.
 type Room struct{ Least, Most int64 }
 
-// PieceResult is the result of one piece: a handle or a reason.
+// PieceResult is the outcome of one piece: the handle of its result, or the reason why there is none.
 type PieceResult struct {
 	Handle string
 	Reason string
@@ -162,7 +168,7 @@
 	modules = make(map[string]Dialect)
 )
 
-// Register adds a module under a name; it panics when the name is taken.
+// Register adds a module under a name. It panics when the name is taken.
 func Register(name string, d Dialect) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -172,7 +178,7 @@
 	modules[name] = d
 }
 
-// Lookup returns the module of a name, or ErrUnknown.
+// Lookup returns the module that is registered under a name, or ErrUnknown.
 func Lookup(name string) (Dialect, error) {
 	mu.Lock()
 	defer mu.Unlock()
