--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog is the routing configuration of raw HTTP services: routes by host and path prefix, the services
-// behind them with their stages, and the organisations with their keys. A Set is checked whole before it is published
-// and is not changed afterwards.
+// Package catalog holds the routing configuration of raw HTTP services: routes by host and path prefix, the services
+// and stages behind them, and the organisations with their keys. A Set is checked as a whole before it is published and
+// is immutable afterwards.
 package catalog
 
 import (
@@ -10,24 +10,25 @@
 	"time"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a request of a route may run more than once.
 type Kind int
 
 // Kinds.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// AtMostOnce requests run once at most for each of the caller's attempts.
+	// AtMostOnce requests run at most once for each attempt of the caller.
 	AtMostOnce
-	// Stream requests are answered by a series of events; they run once at most unless the route is resumable.
+	// Stream requests are answered by a series of events. They run at most once unless the route is resumable.
 	Stream
 )
 
-// Priority of requests whose organisation sets none is the route's; lower is more urgent.
+// Priority orders requests; lower values are more urgent. It is the route's unless the organisation sets one.
 type Priority int
 
-// Set is a whole configuration.
+// Set is a complete configuration. Check must succeed before it is used for lookups.
 type Set struct {
+	// Version is at least 1.
 	Version  uint64
 	Routes   []*Route
 	Services map[string]*Service
@@ -46,42 +47,43 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that a caller may be kept waiting.
+	// Timeout is the longest time that a caller may be kept waiting; above 0.
 	Timeout time.Duration
-	// Target is the time within which an answer has its full worth; for streams, within which the first event has.
+	// Target is the latency up to which a response, or the first event of a stream, has its full value.
 	Target time.Duration
-	// EventGap is the longest pause between events of a stream that is on time; 0 when there is none.
+	// EventGap is the longest pause between events of a stream that counts as on time; 0 when the route has no such limit.
 	EventGap time.Duration
 	Priority Priority
-	// Split holds the services that take the route's requests, by weight; one at least has a weight above 0.
+	// Split holds the services that share the route's requests by weight. At least one has a weight above 0.
 	Split []Share
-	// MaxServers is the most backend servers to which one attempt of a caller is sent, 1 at least.
+	// MaxServers is the largest number of backend servers to which one attempt of a caller is sent; at least 1.
 	MaxServers int
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
-	// Prompted routes carry a prompt's prefix, by which engines cache.
+	// Prompted routes take requests that describe a prompt, whose prefix engines cache.
 	Prompted bool
-	// Resumable streams go on at another server behind the last event delivered.
+	// Resumable streams can continue on another server after the last event that was delivered.
 	Resumable bool
-	// Stages run before the request itself.
+	// Stages run before the request itself. A stage comes after those whose results it needs.
 	Stages []Stage
 }
 
-// Repeatable reports whether a request of the route may be run again after it may have run.
+// Repeatable reports whether a request that may have run already may be run again.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent || r.Kind == Stream && r.Resumable }
 
-// Share is one service's part of a route's requests.
+// Share is the weight of one service among those that take a route's requests.
 type Share struct {
 	Service string
-	Weight  int
+	// Weight is at least 0.
+	Weight int
 }
 
 // Stage is work that is done before a request runs.
 type Stage struct {
 	Service string
-	// After lists the stages whose results this one needs.
+	// After lists the stages whose results this one needs, by their index in Route.Stages.
 	After []int
-	// ResultBytes is about the size of one piece's result.
+	// ResultBytes is the approximate size of one piece's result.
 	ResultBytes int
 }
 
@@ -89,10 +91,10 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is what one server accepts from all VMs together.
+	// MaxConnections is the number of connections that one server accepts from all VMs together.
 	MaxConnections int
-	// ColdDuration is how long a server is cold after its start, and ColdRate how many requests a second it bears
-	// while cold; 0 when the service has no cold start.
+	// ColdDuration is how long a server is cold after its start, ColdRate the requests per second that it can take while
+	// cold. Both are 0 when the service has no cold start.
 	ColdDuration time.Duration
 	ColdRate     float64
 	// Engine is set for services of model engines.
@@ -103,48 +105,49 @@
 
 // Engine describes one model engine of a service.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that run at the same time.
 	Slots int
-	// CacheTokens is the memory for prompts and generated tokens.
+	// CacheTokens is the number of prompt and generated tokens that fit into the engine's memory.
 	CacheTokens int
-	// HandleTTL is how long a stage's result that was handed over is kept.
+	// HandleTTL is how long a stage result that was handed over to the engine is kept.
 	HandleTTL time.Duration
 }
 
-// Batch describes one server of a stage's service.
+// Batch describes one server of a service that runs stages.
 type Batch struct {
-	// Slots is how many calls run at once, Queue how many may wait.
+	// Slots is the number of calls that run at the same time, Queue the number that may wait.
 	Slots, Queue int
-	// Size is the most pieces of one call.
+	// Size is the largest number of pieces in one call.
 	Size int
-	// PerCall and PerPiece are about the time of a call.
+	// PerCall and PerPiece are the approximate fixed time of a call and its time per piece.
 	PerCall, PerPiece time.Duration
-	// ResultBytes is the room for results.
+	// ResultBytes is the space for results.
 	ResultBytes int64
 	// ResultTTL is how long a result is kept after its call.
 	ResultTTL time.Duration
 }
 
-// CallTime returns how long a call of n pieces takes.
+// CallTime returns the approximate time of a call with n pieces.
 func (b *Batch) CallTime(n int) time.Duration { return b.PerCall + time.Duration(n)*b.PerPiece }
 
-// Limits bound what callers may send.
+// Limits are the limits on callers' requests and connections.
 type Limits struct {
+	// MaxHeader and MaxBody are in bytes.
 	MaxHeader     int
 	MaxBody       int64
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// Organisation is a caller's organisation.
+// Organisation is an organisation whose callers are identified by its API keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority replaces the route's when set.
+	// Priority overrides the route's priority; nil keeps it.
 	Priority *Priority
 }
 
-// index prepares the lookups.
+// index builds the lookup tables, with the routes of each host from the longest prefix to the shortest.
 func (s *Set) index() {
 	s.byHost = make(map[string][]*Route)
 	for _, r := range s.Routes {
@@ -161,7 +164,7 @@
 	}
 }
 
-// Match returns the route with the longest prefix of path among those of host; nil when there is none.
+// Match returns the route of host with the longest prefix of path; nil when there is none.
 func (s *Set) Match(host, path string) *Route {
 	for _, r := range s.byHost[host] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -171,7 +174,8 @@
 	return nil
 }
 
-// Organisation returns the holder of a key; nil when nobody holds it. The time does not tell how much of a key matched.
+// Organisation returns the organisation that has the API key; nil when none has it. Keys are looked up by their SHA-256,
+// so the time that it takes doesn't reveal how much of a key matched.
 func (s *Set) Organisation(key string) *Organisation {
 	if key == "" {
 		return nil
@@ -179,26 +183,26 @@
 	return s.byKey[sha256.Sum256([]byte(key))]
 }
 
-// KeysNeeded reports whether requests on routes that are not public need a key.
+// KeysNeeded reports whether requests on routes that are not public need an API key.
 func (s *Set) KeysNeeded() bool { return len(s.Organisations) > 0 }
 
-// Pick returns the service for a draw in [0, 1) by the weights of the split.
+// Pick returns the service that a uniformly distributed draw in [0, 1) selects by the weights of Split.
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	left := draw * float64(total)
+	remaining := draw * float64(total)
 	last := ""
 	for _, s := range r.Split {
 		if s.Weight == 0 {
 			continue
 		}
 		last = s.Service
-		if left < float64(s.Weight) {
+		if remaining < float64(s.Weight) {
 			return s.Service
 		}
-		left -= float64(s.Weight)
+		remaining -= float64(s.Weight)
 	}
 	return last
 }
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -35,32 +35,32 @@
 	require.Nil(t, s.Organisation(""))
 }
 
-func TestInvalidSetsAreRefusedWithTheFault(t *testing.T) {
+func TestCheckNamesTheFaultOfAnInvalidSet(t *testing.T) {
 	cases := map[string]struct {
-		change func(s *Set)
-		says   string
+		mutate  func(s *Set)
+		wantErr string
 	}{
 		"unknown service": {func(s *Set) { s.Routes[0].Split[0].Service = "nobody" }, `unknown service "nobody"`},
 		"unknown stage":   {func(s *Set) { s.Routes[1].Stages[0].Service = "nobody" }, `unknown service "nobody"`},
 		"stage on a plain service": {
 			func(s *Set) { s.Routes[1].Stages[0].Service = "desk" }, "runs no stages",
 		},
-		"cycle":        {func(s *Set) { s.Routes[1].Stages[0].After = []int{1} }, "not before it"},
-		"same place":   {func(s *Set) { s.Routes[1].PathPrefix = "/a/" }, "share host"},
-		"no weight":    {func(s *Set) { s.Routes[0].Split = []Share{{"desk", 0}} }, "add up to 0"},
-		"no timeout":   {func(s *Set) { s.Routes[0].Timeout = 0 }, "no timeout"},
-		"shared key":   {func(s *Set) { s.Organisations[1].Keys = []string{"k1"} }, "share a key"},
-		"no version":   {func(s *Set) { s.Version = 0 }, "version is missing"},
-		"bad prefix":   {func(s *Set) { s.Routes[0].PathPrefix = "/a" }, "slash"},
-		"empty pieces": {func(s *Set) { s.Services["encode"].Batch.Size = 0 }, "takes no pieces"},
+		"cycle":                      {func(s *Set) { s.Routes[1].Stages[0].After = []int{1} }, "not before it"},
+		"same host and prefix":       {func(s *Set) { s.Routes[1].PathPrefix = "/a/" }, "share host"},
+		"no weight":                  {func(s *Set) { s.Routes[0].Split = []Share{{"desk", 0}} }, "add up to 0"},
+		"no timeout":                 {func(s *Set) { s.Routes[0].Timeout = 0 }, "no timeout"},
+		"shared key":                 {func(s *Set) { s.Organisations[1].Keys = []string{"k1"} }, "share a key"},
+		"no version":                 {func(s *Set) { s.Version = 0 }, "version is missing"},
+		"prefix without final slash": {func(s *Set) { s.Routes[0].PathPrefix = "/a" }, "slash"},
+		"no pieces per call":         {func(s *Set) { s.Services["encode"].Batch.Size = 0 }, "takes no pieces"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := valid()
-			c.change(s)
+			c.mutate(s)
 			err := s.Check()
 			require.ErrorIs(t, err, ErrInvalid)
-			require.ErrorContains(t, err, c.says)
+			require.ErrorContains(t, err, c.wantErr)
 		})
 	}
 }
--- a/pkg/catalog/check.go
+++ b/pkg/catalog/check.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// ErrInvalid means that a configuration contradicts itself; the error lists all faults.
+// ErrInvalid means that a configuration is incomplete or inconsistent. Errors that wrap it list all faults.
 var ErrInvalid = errors.New("catalog: invalid configuration")
 
-// Check checks the whole set and prepares it for use. Its error wraps ErrInvalid and names every fault.
+// Check checks the whole set and builds its lookup tables. Its error wraps ErrInvalid and names every fault.
 func (s *Set) Check() error {
 	c := &checker{set: s}
 	if s.Version == 0 {
 		c.report("the version is missing")
 	}
 	for name, svc := range s.Services {
-		c.service(name, svc)
+		c.checkService(name, svc)
 	}
-	places := make(map[string]string)
+	routeByPrefix := make(map[string]string)
 	for _, r := range s.Routes {
-		c.route(r)
-		place := r.Host + " " + r.PathPrefix
-		if first, ok := places[place]; ok {
+		c.checkRoute(r)
+		prefix := r.Host + " " + r.PathPrefix
+		if first, ok := routeByPrefix[prefix]; ok {
 			c.report("routes %q and %q share host %q and prefix %q", first, r.Name, r.Host, r.PathPrefix)
 		}
-		places[place] = r.Name
+		routeByPrefix[prefix] = r.Name
 	}
-	c.organisations()
+	c.checkOrganisations()
 	if len(c.faults) > 0 {
 		return fmt.Errorf("%w: %s", ErrInvalid, strings.Join(c.faults, "; "))
 	}
@@ -35,6 +35,7 @@
 	return nil
 }
 
+// checker collects the faults of a set.
 type checker struct {
 	set    *Set
 	faults []string
@@ -44,7 +45,7 @@
 	c.faults = append(c.faults, fmt.Sprintf(format, args...))
 }
 
-func (c *checker) service(name string, s *Service) {
+func (c *checker) checkService(name string, s *Service) {
 	if name == "" {
 		c.report("a service has no name")
 	}
@@ -53,7 +54,7 @@
 	}
 }
 
-func (c *checker) route(r *Route) {
+func (c *checker) checkRoute(r *Route) {
 	if r.Timeout <= 0 {
 		c.report("route %q has no timeout", r.Name)
 	}
@@ -65,7 +66,7 @@
 	}
 	total := 0
 	for _, s := range r.Split {
-		c.known(r, s.Service)
+		c.checkServiceExists(r, s.Service)
 		if s.Weight < 0 {
 			c.report("route %q gives service %q the weight %d", r.Name, s.Service, s.Weight)
 		}
@@ -75,7 +76,7 @@
 		c.report("route %q: the weights of its services add up to 0", r.Name)
 	}
 	for i, st := range r.Stages {
-		c.known(r, st.Service)
+		c.checkServiceExists(r, st.Service)
 		if svc := c.set.Services[st.Service]; svc != nil && svc.Batch == nil {
 			c.report("route %q: stage %d is on service %q, which runs no stages", r.Name, i, st.Service)
 		}
@@ -87,23 +88,23 @@
 	}
 }
 
-func (c *checker) known(r *Route, service string) {
+func (c *checker) checkServiceExists(r *Route, service string) {
 	if c.set.Services[service] == nil {
 		c.report("route %q names the unknown service %q", r.Name, service)
 	}
 }
 
-func (c *checker) organisations() {
-	holders := make(map[string]string)
+func (c *checker) checkOrganisations() {
+	ownerByKey := make(map[string]string)
 	for _, o := range c.set.Organisations {
 		if o.Name == "" {
 			c.report("an organisation has no name")
 		}
 		for _, k := range o.Keys {
-			if first, ok := holders[k]; ok && first != o.Name {
+			if first, ok := ownerByKey[k]; ok && first != o.Name {
 				c.report("organisations %q and %q share a key", first, o.Name)
 			}
-			holders[k] = o.Name
+			ownerByKey[k] = o.Name
 		}
 	}
 }
