--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -1,7 +1,9 @@
-// Package directory keeps what backend servers announce of themselves and decides which of them may get work. It is
-// pure: the time comes in as an argument. Records of several VMs are merged in any order with one result: an
-// incarnation's newer announcement wins, a later incarnation wins over an earlier one under the same id or address, and
-// an incarnation that has begun to leave doesn't come back.
+// Package directory holds the announcements of backend servers and decides which servers may get work. The package does
+// no I/O and reads no clock: callers pass the time.
+//
+// Merging the records of several VMs gives the same result in any order: of one incarnation the newer announcement wins,
+// a later incarnation wins over an earlier one with the same id or address, and an incarnation that has begun to drain
+// doesn't become ready again.
 package directory
 
 import (
@@ -11,15 +13,15 @@
 	"time"
 )
 
-// State is what a server says of itself.
+// State is the state that a server announces.
 type State int
 
 // States.
 const (
 	Ready State = iota + 1
-	// Draining servers finish what they have.
+	// Draining servers finish the requests that they have and take no new ones.
 	Draining
-	// Gone servers have left.
+	// Gone servers have shut down.
 	Gone
 )
 
@@ -39,74 +41,79 @@
 // Server is the newest known announcement of a backend server.
 type Server struct {
 	ID string
-	// Born is the Unix millisecond of the incarnation's start; 0 when only the id is known.
-	Born     int64
+	// Born is the start of the incarnation in Unix milliseconds; 0 when only the id is known.
+	Born int64
+	// Sequence orders the announcements of an incarnation.
 	Sequence uint64
 	Service  string
 	// Address is IP:port.
 	Address string
-	Domain  string
-	State   State
-	Slots   int
-	// ColdUntil is when the server is warm, by this VM's monotonic clock.
+	// Domain is the failure domain.
+	Domain string
+	State  State
+	// Slots is the number of requests that the server runs at the same time.
+	Slots int
+	// ColdUntil is the end of the cold start, by this VM's monotonic clock.
 	ColdUntil time.Time
 	// Heard is when the announcement reached the system, by this VM's monotonic clock.
 	Heard time.Time
-	// Quiet is true when the server was not heard for quietAfter: it may be dead, or cut off from the control VMs.
+	// Quiet is true when no announcement came for quietAfter: the server may be dead, or cut off from the control VMs.
 	Quiet bool
 }
 
-// Incarnation names the server's life, as a text.
+// Incarnation returns the incarnation as text: Born in decimal.
 func (s *Server) Incarnation() string { return strconv.FormatInt(s.Born, 10) }
 
 const (
-	// quietAfter is the silence from which a server is quiet: three announcements of about a second, and lateness.
+	// quietAfter is the silence after which a server counts as quiet: three announcement intervals of about 1 s each, and
+	// a margin for delays.
 	quietAfter = 4500 * time.Millisecond
-	// keptSilent is how long a server that announces nothing is kept. Announcements come about every second and are
-	// late by seconds at times.
-	keptSilent = 15 * time.Second
-	// keptGone is how long a departure is remembered, longer than late announcements are under way.
-	keptGone = 90 * time.Second
+	// silentRetention is how long a server that announces nothing is kept. Announcements come about every second and are
+	// sometimes late by several seconds.
+	silentRetention = 15 * time.Second
+	// goneRetention is how long a server that has gone is remembered: longer than a delayed announcement may take to
+	// arrive, so that it doesn't make the server ready again.
+	goneRetention = 90 * time.Second
 )
 
-// Directory holds all servers. It isn't safe for concurrent use.
+// Directory holds the newest announcement of each server. It isn't safe for concurrent use.
 type Directory struct {
 	servers map[string]*Server
-	// owner names the server that an address belongs to.
-	owner map[string]string
+	// addressOwner maps an address to the id of the server that it belongs to: the latest incarnation announced with it.
+	addressOwner map[string]string
 }
 
 // New returns an empty Directory.
 func New() *Directory {
-	return &Directory{servers: make(map[string]*Server), owner: make(map[string]string)}
+	return &Directory{servers: make(map[string]*Server), addressOwner: make(map[string]string)}
 }
 
-// Change says what a merge did.
+// Change is the effect of a merge.
 type Change int
 
 // Changes.
 const (
-	// Stale announcements changed nothing.
+	// Stale means that the announcement changed nothing.
 	Stale Change = iota
-	// Refreshed servers were heard again and are as before.
+	// Refreshed means that the server was heard again without a change.
 	Refreshed
-	// Changed servers differ in what decides about their work.
+	// Changed means that something changed that decides which work the server gets.
 	Changed
 )
 
-// Merge takes an announcement in.
+// Merge applies an announcement, which may be older than the known one, and reports its effect.
 func (d *Directory) Merge(s Server) Change {
 	old := d.servers[s.ID]
 	if old == nil {
 		d.set(s)
 		return Changed
 	}
-	switch c := compare(&s, old); {
+	switch c := compareAge(&s, old); {
 	case c < 0, c == 0 && s.State <= old.State:
-		return d.again(old, &s, c)
+		return d.mergeNotNewer(old, &s, c)
 	}
-	sameLife := s.Born == old.Born || s.Born == 0 || old.Born == 0
-	if sameLife {
+	sameIncarnation := s.Born == old.Born || s.Born == 0 || old.Born == 0
+	if sameIncarnation {
 		s = inherit(s, old)
 	}
 	change := Refreshed
@@ -117,8 +124,8 @@
 	return change
 }
 
-// again handles an announcement that is not newer than the one known.
-func (d *Directory) again(old, s *Server, c int) Change {
+// mergeNotNewer handles an announcement that is not newer than the one known.
+func (d *Directory) mergeNotNewer(old, s *Server, c int) Change {
 	if c != 0 {
 		return Stale
 	}
@@ -133,8 +140,9 @@
 	return Stale
 }
 
-// compare orders two announcements under one id.
-func compare(a, b *Server) int {
+// compareAge orders two announcements with the same id from older to newer: by incarnation, then departures after the
+// other states, then by sequence.
+func compareAge(a, b *Server) int {
 	if a.Born != 0 && b.Born != 0 && a.Born != b.Born {
 		return cmp.Compare(a.Born, b.Born)
 	}
@@ -144,7 +152,8 @@
 	return cmp.Compare(a.Sequence, b.Sequence)
 }
 
-// inherit keeps what an incarnation can't take back and fills what a departure doesn't say.
+// inherit completes a newer announcement of the same incarnation: the state never goes back, and the fields that a
+// departure leaves out are copied from the old announcement.
 func inherit(s Server, old *Server) Server {
 	s.State = max(s.State, old.State)
 	s.Born = max(s.Born, old.Born)
@@ -155,34 +164,39 @@
 	return s
 }
 
-// coldSlack is how far two estimates of the end of a cold start may lie apart without being news.
-const coldSlack = 300 * time.Millisecond
+// coldTolerance is the difference between two estimates of the end of a cold start that doesn't count as a change.
+const coldTolerance = 300 * time.Millisecond
 
+// differs reports whether two announcements differ in what decides which work the server gets. The ends of cold starts
+// count only while one of them lies ahead.
 func differs(a, b *Server) bool {
-	cold := a.ColdUntil.Sub(b.ColdUntil).Abs() > coldSlack && (a.ColdUntil.After(a.Heard) || b.ColdUntil.After(a.Heard))
+	cold := a.ColdUntil.Sub(b.ColdUntil).Abs() > coldTolerance && (a.ColdUntil.After(a.Heard) || b.ColdUntil.After(a.Heard))
 	return cold || a.Quiet != b.Quiet || a.Born != b.Born || a.State != b.State || a.Service != b.Service || a.Address != b.Address ||
 		a.Domain != b.Domain || a.Slots != b.Slots
 }
 
+// set stores a record and gives it its address, unless a later incarnation has the address.
 func (d *Directory) set(s Server) {
 	d.servers[s.ID] = &s
 	if s.Address == "" {
 		return
 	}
-	holder := d.servers[d.owner[s.Address]]
+	holder := d.servers[d.addressOwner[s.Address]]
 	if holder == nil || holder.Address != s.Address || holder.Born <= s.Born {
-		d.owner[s.Address] = s.ID
+		d.addressOwner[s.Address] = s.ID
 	}
 }
 
-// Refresh notes that a server was heard at a time at least; departures and unknown servers stay as they are.
+// Refresh records that a server was heard at the given time or later. It has no effect on servers that are gone or
+// unknown.
 func (d *Directory) Refresh(id string, heard time.Time) {
 	if s := d.servers[id]; s != nil && s.State != Gone && s.Heard.Before(heard) {
 		s.Heard = heard
 	}
 }
 
-// Leave marks a server as gone; an unknown one is remembered, so that a late announcement doesn't bring it back.
+// Leave marks a server as gone and returns its record. An unknown server is recorded as well, so that a delayed
+// announcement doesn't make it ready.
 func (d *Directory) Leave(id string, now time.Time) (Server, Change) {
 	s := Server{ID: id, State: Gone, Heard: now}
 	if old := d.servers[id]; old != nil {
@@ -203,13 +217,13 @@
 }
 
 // ByAddress returns the server to which an address belongs.
-func (d *Directory) ByAddress(address string) (Server, bool) { return d.Get(d.owner[address]) }
+func (d *Directory) ByAddress(address string) (Server, bool) { return d.Get(d.addressOwner[address]) }
 
-// Serving returns the servers of a service that may get new work, by id.
+// Serving returns the servers of a service that may get new work, sorted by id.
 func (d *Directory) Serving(service string) []Server {
 	var out []Server
 	for id, s := range d.servers {
-		if s.Service == service && s.State == Ready && d.owner[s.Address] == id {
+		if s.Service == service && s.State == Ready && d.addressOwner[s.Address] == id {
 			out = append(out, *s)
 		}
 	}
@@ -217,7 +231,7 @@
 	return out
 }
 
-// All returns all records, departures included.
+// All returns all records in no particular order, including those of servers that are gone.
 func (d *Directory) All() []Server {
 	out := make([]Server, 0, len(d.servers))
 	for _, s := range d.servers {
@@ -226,7 +240,7 @@
 	return out
 }
 
-// Quieten marks the servers that were not heard for quietAfter, and returns those that were not marked before.
+// Quieten marks the servers that were not heard for quietAfter as quiet, and returns those that it marked.
 func (d *Directory) Quieten(now time.Time) []Server {
 	var out []Server
 	for _, s := range d.servers {
@@ -238,23 +252,24 @@
 	return out
 }
 
-// Expire drops what was not heard for long and returns the servers that were still in use.
+// Expire drops the servers that were not heard for silentRetention, and those that have been gone for goneRetention. It
+// returns the former.
 func (d *Directory) Expire(now time.Time) []Server {
 	var silent []Server
 	for id, s := range d.servers {
-		kept := keptSilent
+		retention := silentRetention
 		if s.State == Gone {
-			kept = keptGone
+			retention = goneRetention
 		}
-		if now.Sub(s.Heard) <= kept {
+		if now.Sub(s.Heard) <= retention {
 			continue
 		}
 		if s.State != Gone {
 			silent = append(silent, *s)
 		}
 		delete(d.servers, id)
-		if d.owner[s.Address] == id {
-			delete(d.owner, s.Address)
+		if d.addressOwner[s.Address] == id {
+			delete(d.addressOwner, s.Address)
 		}
 	}
 	return silent
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -14,41 +14,41 @@
 	return Server{ID: id, Born: born, Sequence: seq, Service: "s", Address: "10.0.0.1:80", Domain: "a", State: state, Heard: start}
 }
 
-func TestRefreshKeepsAServerAndNoDeparture(t *testing.T) {
+func TestRefreshKeepsServersThatAreNotGone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New()
 	d.Merge(Server{ID: "a", State: Ready, Address: "x", Heard: now})
 	d.Merge(Server{ID: "b", State: Gone, Heard: now})
-	later := now.Add(keptGone)
+	later := now.Add(goneRetention)
 	d.Refresh("a", later)
 	d.Refresh("b", later)
 	d.Refresh("c", later)
 	d.Refresh("a", now)
 	require.Empty(t, d.Expire(later.Add(time.Millisecond)))
-	require.Len(t, d.All(), 1, "the departure is forgotten in time, the server is kept")
+	require.Len(t, d.All(), 1, "the refreshed server is kept, the one that is gone expires")
 }
 
-func TestLateAnnouncementDoesNotBringALeavingServerBack(t *testing.T) {
+func TestDelayedAnnouncementDoesNotRevertDrainingOrGone(t *testing.T) {
 	for _, state := range []State{Draining, Gone} {
 		d := New()
 		d.Merge(server("i", 5, 1, Ready))
 		d.Merge(server("i", 5, 3, state))
 		require.Equal(t, Stale, d.Merge(server("i", 5, 2, Ready)))
 		d.Merge(server("i", 5, 9, Ready))
-		require.Empty(t, d.Serving("s"), "an incarnation that began to leave came back from %s", state)
+		require.Empty(t, d.Serving("s"), "an incarnation became ready again after it was %s", state)
 		require.Equal(t, Changed, d.Merge(server("i", 6, 1, Ready)))
 		require.Len(t, d.Serving("s"), 1, "the next incarnation serves")
 	}
 }
 
-func TestLeaveOfAnUnknownServerOutlastsItsLateAnnouncement(t *testing.T) {
+func TestUnknownServerThatLeftIgnoresADelayedAnnouncement(t *testing.T) {
 	d := New()
 	d.Leave("i", start)
 	d.Merge(server("i", 5, 7, Ready))
 	require.Empty(t, d.Serving("s"))
 }
 
-func TestAddressBelongsToTheLaterIncarnation(t *testing.T) {
+func TestAddressBelongsToTheLatestIncarnation(t *testing.T) {
 	older, newer := server("old", 5, 100, Ready), server("new", 6, 1, Ready)
 	for _, order := range [][]Server{{older, newer}, {newer, older}} {
 		d := New()
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestOrderOfAnnouncementsDoesNotMatter(t *testing.T) {
+func TestMergeIsIndependentOfTheOrderOfAnnouncements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Server
 		for _, born := range []int64{10, 20} {
@@ -86,7 +86,7 @@
 		x, _ := a.Get("i")
 		y, _ := b.Get("i")
 		if x.Born != y.Born || x.State != y.State {
-			t.Fatalf("in order %v of %d, mixed %v of %d", x.State, x.Born, y.State, y.Born)
+			t.Fatalf("merged in order: %v, incarnation %d; shuffled: %v, incarnation %d", x.State, x.Born, y.State, y.Born)
 		}
 	})
 }
@@ -99,27 +99,27 @@
 	return out
 }
 
-func TestSilentServersAreForgottenAndDeparturesKeptLonger(t *testing.T) {
+func TestSilentServersExpireBeforeServersThatAreGone(t *testing.T) {
 	d := New()
 	d.Merge(server("i", 5, 1, Ready))
 	gone := server("g", 5, 1, Gone)
 	gone.Address = "10.0.0.2:80"
 	d.Merge(gone)
-	require.Empty(t, d.Expire(start.Add(keptSilent)))
-	require.Len(t, d.Expire(start.Add(keptSilent+time.Second)), 1)
+	require.Empty(t, d.Expire(start.Add(silentRetention)))
+	require.Len(t, d.Expire(start.Add(silentRetention+time.Second)), 1)
 	_, ok := d.Get("g")
 	require.True(t, ok)
-	require.Empty(t, d.Expire(start.Add(keptGone+time.Second)))
+	require.Empty(t, d.Expire(start.Add(goneRetention+time.Second)))
 	require.Empty(t, d.All())
 }
 
-func TestServerThatIsNotHeardTurnsQuietUntilItsNextAnnouncement(t *testing.T) {
+func TestSilentServerIsQuietUntilItsNextAnnouncement(t *testing.T) {
 	d := New()
 	d.Merge(server("i", 5, 1, Ready))
 	require.Empty(t, d.Quieten(start.Add(quietAfter)))
 	now := start.Add(quietAfter + time.Millisecond)
 	require.Len(t, d.Quieten(now), 1)
-	require.Empty(t, d.Quieten(now), "told once")
+	require.Empty(t, d.Quieten(now), "a quiet server is returned once")
 	require.True(t, d.Serving("s")[0].Quiet)
 	next := server("i", 5, 2, Ready)
 	next.Heard = now
@@ -127,5 +127,5 @@
 	require.False(t, d.Serving("s")[0].Quiet)
 	old := server("i", 5, 1, Ready)
 	old.Quiet = true
-	require.Equal(t, Stale, d.Merge(old), "a VM that heard less knows less")
+	require.Equal(t, Stale, d.Merge(old), "an older announcement doesn't mark the server as quiet")
 }
