--- a/pkg/suspect/suspect.go
+++ b/pkg/suspect/suspect.go
@@ -1,5 +1,5 @@
-// Package suspect decides which request fingerprints are suspected or convicted of crashing backend servers, from
-// the crash reports in the replicated log. It is pure and deterministic.
+// Package suspect decides which request fingerprints are suspected or convicted of crashing backend servers, from the
+// crash reports in the replicated log. It is deterministic, does no I/O and reads no clock: callers pass the time.
 package suspect
 
 import (
@@ -15,35 +15,38 @@
 
 // Errors of this package.
 var (
-	// ErrCommand means that a command is malformed; nothing was changed.
+	// ErrCommand means that a command is malformed and changed nothing.
 	ErrCommand = errors.New("suspect: malformed command")
-	// ErrSnapshot means that a snapshot contradicts itself.
+	// ErrSnapshot means that a snapshot is inconsistent.
 	ErrSnapshot = errors.New("suspect: bad snapshot")
 )
 
-// Limits and times of the state.
+// Limits and durations.
 const (
-	// MaxSuspects is the count of fingerprints kept; beyond it the one that expires first is dropped.
+	// MaxSuspects is the largest number of fingerprints in a Table. Beyond it, suspicions are dropped before convictions,
+	// and among equals the one that expires first.
 	MaxSuspects = 4_096
-	// MaxFingerprints is the count of fingerprints in one report.
+	// MaxFingerprints is the largest number of fingerprints in one report.
 	MaxFingerprints = 1_024
-	// MaxCrashes is the count of crashes, alone or not, that convict a fingerprint in any case.
+	// MaxCrashes is the number of crashes that convict a fingerprint even when other requests were in flight too. Two
+	// suffice when the request was alone on the server in the second.
 	MaxCrashes = 3
-	// SharedCrashes is from how many crashes on all VMs must know of a fingerprint: most of those that were in flight on
-	// one crashed server are served next.
+	// SharedCrashes is the number of crashes from which all VMs must know of a fingerprint. One crash is not enough, since
+	// most requests that were in flight on a crashed server succeed at their next attempt.
 	SharedCrashes = 2
 	// SuspicionMs is how long a suspicion lasts after the last crash, in milliseconds.
 	SuspicionMs = 10 * 60 * 1000
 	// ConvictionMs is how long a conviction lasts, in milliseconds.
 	ConvictionMs = 60 * 60 * 1000
-	maxName      = 256
+	// maxNameBytes is the largest length of a server's id and of its incarnation.
+	maxNameBytes = 256
 )
 
-// Table holds all suspects. It isn't safe for concurrent use.
+// Table holds the suspects by fingerprint. It isn't safe for concurrent use.
 type Table struct {
 	records map[uint64]*daisyhatchv1.SuspectRecord
 	changes uint64
-	// version grows with each report of a crash, each clearing and each expiry.
+	// version grows with each crash report, each call of Clear and each record that expires.
 	version uint64
 }
 
@@ -52,11 +55,12 @@
 	return &Table{records: make(map[uint64]*daisyhatchv1.SuspectRecord)}
 }
 
-// Crash counts one crash of a server incarnation against the fingerprints that were in flight on it, at replicated
-// time nowMs. Several reports of the same crash count once per fingerprint, and so do crashes of several servers on which
-// it ran at the same time: one cause may have ended them all. It returns ErrCommand for a malformed report.
+// Crash counts one crash of a server incarnation against the fingerprints that were in flight on it. nowMs is the
+// replicated time in Unix milliseconds. Several reports of the same crash count once per fingerprint. So do crashes of
+// several servers on which a request ran at the same time, since one cause may have crashed them all. It returns
+// ErrCommand for a malformed report.
 func (t *Table) Crash(c *daisyhatchv1.CrashCommand, nowMs int64) (*daisyhatchv1.CrashResult, error) {
-	if err := check(c); err != nil {
+	if err := validate(c); err != nil {
 		return nil, err
 	}
 	t.Expire(nowMs)
@@ -65,18 +69,18 @@
 	alone := c.GetAlone() && len(c.GetFingerprints()) == 1
 	result := &daisyhatchv1.CrashResult{Version: t.version}
 	for i, f := range c.GetFingerprints() {
-		r := t.record(f)
-		if i >= len(c.GetRuns()) || followed(r, c.GetRuns()[i]) {
-			t.count(r, crash, alone, nowMs)
+		r := t.getOrCreate(f)
+		if i >= len(c.GetRuns()) || beganAfterLastCrash(r, c.GetRuns()[i]) {
+			t.countCrash(r, crash, alone, nowMs)
 		}
 		result.Suspects = append(result.Suspects, proto.CloneOf(r.GetSuspect()))
 	}
-	t.bound()
+	t.evictExcess()
 	t.changes++
 	return result, nil
 }
 
-func (t *Table) record(fingerprint uint64) *daisyhatchv1.SuspectRecord {
+func (t *Table) getOrCreate(fingerprint uint64) *daisyhatchv1.SuspectRecord {
 	r, ok := t.records[fingerprint]
 	if !ok {
 		r = &daisyhatchv1.SuspectRecord{Suspect: &daisyhatchv1.Suspect{Fingerprint: fingerprint}}
@@ -85,12 +89,13 @@
 	return r
 }
 
-// followed reports whether a run began after the last crash that counts against its fingerprint.
-func followed(r *daisyhatchv1.SuspectRecord, run *daisyhatchv1.CrashRun) bool {
+// beganAfterLastCrash reports whether a run began when its VM knew of the last crash that counts against the
+// fingerprint: by the number of crashes, or by the version of the list of suspects.
+func beganAfterLastCrash(r *daisyhatchv1.SuspectRecord, run *daisyhatchv1.CrashRun) bool {
 	return run.GetKnownCrashes() >= r.GetSuspect().GetCrashes() || run.GetKnownVersion() >= r.GetVersion()
 }
 
-func (t *Table) count(r *daisyhatchv1.SuspectRecord, crash uint64, alone bool, nowMs int64) {
+func (t *Table) countCrash(r *daisyhatchv1.SuspectRecord, crash uint64, alone bool, nowMs int64) {
 	s := r.GetSuspect()
 	if slices.Contains(r.GetCrashes(), crash) || s.GetState() == daisyhatchv1.SuspectState_SUSPECT_STATE_CONVICTED {
 		return
@@ -107,7 +112,7 @@
 	s.ExpiresUnixMs = nowMs + SuspicionMs
 }
 
-// Clear ends suspicion and conviction of fingerprints that were served, and returns the table's version.
+// Clear drops the suspicion or conviction of fingerprints whose requests succeeded, and returns the table's version.
 func (t *Table) Clear(fingerprints []uint64) uint64 {
 	t.version++
 	for _, f := range fingerprints {
@@ -119,12 +124,12 @@
 	return t.version
 }
 
-// Get returns a suspect; nil when the fingerprint is clear. The caller must not change it.
+// Get returns the suspect with a fingerprint, or nil when there is none. The caller must not modify it.
 func (t *Table) Get(fingerprint uint64) *daisyhatchv1.Suspect {
 	return t.records[fingerprint].GetSuspect()
 }
 
-// Expire drops what expired by nowMs.
+// Expire drops the suspects that have expired by nowMs, in Unix milliseconds.
 func (t *Table) Expire(nowMs int64) {
 	for f, r := range t.records {
 		if r.GetSuspect().GetExpiresUnixMs() <= nowMs {
@@ -135,10 +140,10 @@
 	}
 }
 
-// bound drops the suspects that expire first, suspicions before convictions.
-func (t *Table) bound() {
-	over := len(t.records) - MaxSuspects
-	if over <= 0 {
+// evictExcess drops the suspects beyond MaxSuspects: suspicions before convictions, and those that expire first.
+func (t *Table) evictExcess() {
+	excess := len(t.records) - MaxSuspects
+	if excess <= 0 {
 		return
 	}
 	all := t.Records()
@@ -148,30 +153,31 @@
 		}
 		return int(a.GetSuspect().GetExpiresUnixMs() - b.GetSuspect().GetExpiresUnixMs())
 	})
-	for _, r := range all[:over] {
+	for _, r := range all[:excess] {
 		delete(t.records, r.GetSuspect().GetFingerprint())
 	}
 }
 
-func check(c *daisyhatchv1.CrashCommand) error {
+func validate(c *daisyhatchv1.CrashCommand) error {
 	switch {
-	case c.GetServer() == "" || len(c.GetServer()) > maxName || len(c.GetServerIncarnation()) > maxName:
-		return fmt.Errorf("%w: server and incarnation must have 1 to %d bytes", ErrCommand, maxName)
+	case c.GetServer() == "" || len(c.GetServer()) > maxNameBytes || len(c.GetServerIncarnation()) > maxNameBytes:
+		return fmt.Errorf("%w: server and incarnation must have 1 to %d bytes", ErrCommand, maxNameBytes)
 	case len(c.GetFingerprints()) > MaxFingerprints:
 		return fmt.Errorf("%w: more than %d fingerprints", ErrCommand, MaxFingerprints)
 	case len(c.GetRuns()) != 0 && len(c.GetRuns()) != len(c.GetFingerprints()):
-		return fmt.Errorf("%w: %d runs of %d fingerprints", ErrCommand, len(c.GetRuns()), len(c.GetFingerprints()))
+		return fmt.Errorf("%w: %d runs for %d fingerprints", ErrCommand, len(c.GetRuns()), len(c.GetFingerprints()))
 	}
 	return nil
 }
 
-// Changes counts the changes. It is not part of the replicated state.
+// Changes returns a counter of changes since the Table was created. It is not part of the replicated state.
 func (t *Table) Changes() uint64 { return t.changes }
 
-// Version grows with each report of a crash, each clearing and each expiry. It is part of the replicated state.
+// Version returns a number that grows with each crash report, each call of Clear and each record that expires. It is part
+// of the replicated state.
 func (t *Table) Version() uint64 { return t.version }
 
-// Records returns all records by fingerprint. The caller must not change them.
+// Records returns all records, sorted by fingerprint. The caller must not modify them.
 func (t *Table) Records() []*daisyhatchv1.SuspectRecord {
 	out := make([]*daisyhatchv1.SuspectRecord, 0, len(t.records))
 	for _, r := range t.records {
@@ -186,7 +192,8 @@
 	return out
 }
 
-// Restore returns the Table of a snapshot and its version. It returns ErrSnapshot when the snapshot contradicts itself.
+// Restore returns the Table with the records and version of a snapshot. It returns ErrSnapshot when a record has no
+// suspect, a fingerprint occurs twice or there are more than MaxSuspects records.
 func Restore(records []*daisyhatchv1.SuspectRecord, version uint64) (*Table, error) {
 	t := New()
 	t.version = version
--- a/pkg/suspect/suspect_test.go
+++ b/pkg/suspect/suspect_test.go
@@ -13,7 +13,7 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict. A seed on the command line stands.
+// TestMain sets a fixed seed, so that each run gives the same result. A seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261204", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -29,18 +29,19 @@
 	convicted = daisyhatchv1.SuspectState_SUSPECT_STATE_CONVICTED
 )
 
-// entry is what an oracle knows of one fingerprint: the crashes since it was last clear.
-type entry struct {
-	crashes map[string]bool
-	guilty  bool
-	expires int64
+// oracleRecord is the test's own model of one fingerprint: the crashes counted since it was last clear.
+type oracleRecord struct {
+	crashes     map[string]bool
+	isConvicted bool
+	expires     int64
 }
 
-// Crash reports, several for one crash, with expiry and reloads, against an oracle of plain sets.
+// Compares the table with a model made of plain sets, under random crash reports, several reports of one crash, expiry
+// and restores from snapshots.
 func TestAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New()
-		oracle := make(map[uint64]*entry)
+		oracle := make(map[uint64]*oracleRecord)
 		now := int64(1)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += rapid.SampledFrom([]int64{0, 0, 1000, SuspicionMs - 1, SuspicionMs, ConvictionMs}).Draw(t, "pass")
@@ -56,8 +57,8 @@
 			for i, f := range c.GetFingerprints() {
 				e := expect(oracle, f, c.GetServer()+"/"+c.GetServerIncarnation(), alone, now)
 				got := r.GetSuspects()[i]
-				require.Equal(t, e.guilty, got.GetState() == convicted)
-				require.Equal(t, !e.guilty, got.GetState() == suspected)
+				require.Equal(t, e.isConvicted, got.GetState() == convicted)
+				require.Equal(t, !e.isConvicted, got.GetState() == suspected)
 				require.EqualValues(t, len(e.crashes), got.GetCrashes())
 				require.Equal(t, e.expires, got.GetExpiresUnixMs())
 			}
@@ -70,19 +71,19 @@
 	})
 }
 
-func expect(oracle map[uint64]*entry, f uint64, crash string, alone bool, now int64) *entry {
+func expect(oracle map[uint64]*oracleRecord, f uint64, crash string, alone bool, now int64) *oracleRecord {
 	e := oracle[f]
 	if e == nil || e.expires <= now {
-		e = &entry{crashes: make(map[string]bool)}
+		e = &oracleRecord{crashes: make(map[string]bool)}
 		oracle[f] = e
 	}
-	if e.guilty || e.crashes[crash] {
+	if e.isConvicted || e.crashes[crash] {
 		return e
 	}
 	e.crashes[crash] = true
 	e.expires = now + SuspicionMs
 	if (alone && len(e.crashes) >= 2) || len(e.crashes) >= 3 {
-		e.guilty = true
+		e.isConvicted = true
 		e.expires = now + ConvictionMs
 	}
 	return e
@@ -106,17 +107,17 @@
 	require.Equal(t, convicted, table.records[7].GetSuspect().GetState())
 }
 
-// Crashes of a fingerprint count one after the other: a run that began when its VM did not know of the last one may have ended
-// by the same cause.
+// A run that began when its VM didn't know of the last counted crash may have crashed by the same cause, so it must not
+// count as a further crash of the fingerprint.
 func TestRunsThatBeganBeforeTheLastCrashDoNotCount(t *testing.T) {
 	for name, c := range map[string]struct {
 		run  *daisyhatchv1.CrashRun
 		want uint32
 	}{
-		"same VM, after its own crash":           {&daisyhatchv1.CrashRun{KnownCrashes: 1}, 2},
-		"VM that has the list since the crash":   {&daisyhatchv1.CrashRun{KnownVersion: 1}, 2},
-		"VM that had not heard of the crash":     {&daisyhatchv1.CrashRun{}, 1},
-		"reported by a VM that does not tell it": {nil, 2},
+		"VM knows the number of crashes":              {&daisyhatchv1.CrashRun{KnownCrashes: 1}, 2},
+		"VM has the list of suspects since the crash": {&daisyhatchv1.CrashRun{KnownVersion: 1}, 2},
+		"VM does not know of the crash":               {&daisyhatchv1.CrashRun{}, 1},
+		"report without runs":                         {nil, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := New()
@@ -135,25 +136,25 @@
 	require.ErrorIs(t, err, ErrCommand)
 }
 
-// Each change has a version of its own, also after a reload: lists are compared by it.
+// VMs compare lists of suspects by version, so each change must raise it, also after a restore.
 func TestVersionGrowsWithEachChange(t *testing.T) {
 	table := New()
 	before := table.Version()
-	grown := func(what string) {
+	requireGrown := func(what string) {
 		require.Greater(t, table.Version(), before, what)
 		before = table.Version()
 	}
 	_, err := table.Crash(&daisyhatchv1.CrashCommand{Server: "a", Fingerprints: []uint64{1}}, 1)
 	require.NoError(t, err)
-	grown("crash")
+	requireGrown("crash")
 	table.Clear([]uint64{1})
 	require.Nil(t, table.Get(1))
-	grown("clear")
+	requireGrown("clear")
 	_, err = table.Crash(&daisyhatchv1.CrashCommand{Server: "a", Fingerprints: []uint64{1}}, 1)
 	require.NoError(t, err)
-	grown("crash")
+	requireGrown("crash")
 	table, err = Restore(table.Records(), table.Version())
 	require.NoError(t, err)
 	table.Expire(1 + SuspicionMs)
-	grown("expiry")
+	requireGrown("expiry")
 }
