--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,5 +1,6 @@
-// Package membership keeps the table of VMs from their heartbeats. It is pure: the caller passes the time, readings
-// of one monotonic clock. The table informs operators; no promise rests on it.
+// Package membership keeps a table of the VMs from their heartbeats. The table is for operators' information only: no
+// guarantee of the system depends on it. The package does no I/O and reads no clock: callers pass the time, from one
+// monotonic clock.
 package membership
 
 import (
@@ -10,7 +11,7 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// Times of failure detection.
+// Limits of failure detection.
 const (
 	// HeartbeatInterval is how often a VM sends a heartbeat.
 	HeartbeatInterval = time.Second
@@ -20,22 +21,22 @@
 	FailAfter = 10 * HeartbeatInterval
 	// ForgetAfter is the silence after which a VM is dropped from the table.
 	ForgetAfter = time.Hour
-	// MaxVMs is the count of VMs in the table.
+	// MaxVMs is the largest number of VMs in the table; heartbeats of further ones are ignored.
 	MaxVMs = 4_096
 )
 
-// State is what the table says of a VM.
+// State is the state of a VM, derived from the time since its last heartbeat.
 type State int
 
 // States of a VM.
 const (
-	// Alive VMs sent a heartbeat lately.
+	// Alive VMs sent a heartbeat within SuspectAfter.
 	Alive State = iota + 1
-	// Suspected VMs missed some heartbeats.
+	// Suspected VMs sent none for longer than SuspectAfter.
 	Suspected
-	// Failed VMs missed many.
+	// Failed VMs sent none for longer than FailAfter.
 	Failed
-	// Left VMs said that they were leaving before they fell silent.
+	// Left VMs sent none for longer than SuspectAfter and were draining at their last one.
 	Left
 )
 
@@ -44,14 +45,17 @@
 	return [...]string{"unknown", "alive", "suspected", "failed", "left"}[s]
 }
 
-// Member is one VM as last heard.
+// Member is one VM.
 type Member struct {
+	// Heartbeat is the newest heartbeat: the one with the highest sequence of the latest incarnation heard.
 	Heartbeat *daisyhatchv1.HeartbeatRequest
-	Heard     time.Time
-	State     State
+	// Heard is when any heartbeat last arrived, also an outdated one.
+	Heard time.Time
+	// State is set by Members only.
+	State State
 }
 
-// Table holds the VMs. It isn't safe for concurrent use.
+// Table holds the VMs by name. It isn't safe for concurrent use.
 type Table struct {
 	members map[string]*Member
 }
@@ -61,8 +65,8 @@
 	return &Table{members: make(map[string]*Member)}
 }
 
-// Heartbeat notes a heartbeat and reports whether it is new: a resent or overtaken one of the same incarnation only
-// shows that the VM is alive.
+// Heartbeat records a heartbeat and reports whether it replaced the last one. One that is resent or arrives out of order,
+// within an incarnation, only shows that the VM is alive. Heartbeats of new VMs are ignored when the table is full.
 func (t *Table) Heartbeat(h *daisyhatchv1.HeartbeatRequest, now time.Time) bool {
 	m, ok := t.members[h.GetVm()]
 	if !ok {
@@ -81,7 +85,7 @@
 	return true
 }
 
-// Advance forgets the VMs that fell silent long ago.
+// Advance drops the VMs that sent no heartbeat for longer than ForgetAfter.
 func (t *Table) Advance(now time.Time) {
 	for vm, m := range t.members {
 		if now.Sub(m.Heard) > ForgetAfter {
@@ -90,7 +94,7 @@
 	}
 }
 
-// Members returns all VMs by name, with their states at time now.
+// Members returns all VMs, sorted by name, with their states at time now.
 func (t *Table) Members(now time.Time) []Member {
 	out := make([]Member, 0, len(t.members))
 	for _, m := range t.members {
@@ -118,7 +122,7 @@
 	}
 }
 
-// Status turns a Member into what operators are shown.
+// Status returns the VM's status as it is shown to operators.
 func (m Member) Status(now time.Time) *daisyhatchv1.VMStatus {
 	h := m.Heartbeat
 	return &daisyhatchv1.VMStatus{
