--- a/pkg/dialect/dialect.go
+++ b/pkg/dialect/dialect.go
@@ -59,8 +59,10 @@
 type Control interface {
 	Publish(ctx context.Context, document []byte) (accepted bool, err error)
 	Document(ctx context.Context) (document []byte, version uint64, err error)
+	// SetDomain takes a failure domain out of use, or back into use when out is false.
 	SetDomain(ctx context.Context, domain string, out bool) error
 	Announce(ctx context.Context, s directory.Server) error
+	// Leave marks the server with the id as gone.
 	Leave(ctx context.Context, id string) error
 }
 
--- a/pkg/holdoff/holdoff.go
+++ b/pkg/holdoff/holdoff.go
@@ -69,38 +69,38 @@
 	if n.Empty() {
 		return false
 	}
-	w, known := b.records[server]
-	if !known || w.incarnation != incarnation {
-		w = record{incarnation: incarnation}
+	rec, known := b.records[server]
+	if !known || rec.incarnation != incarnation {
+		rec = record{incarnation: incarnation}
 	}
-	before := w
-	w.updatedAt = now
-	w.leaving = w.leaving || n.Leaving
-	if waitUntil := now.Add(min(n.Wait, maxWait)); n.Wait > 0 && waitUntil.After(w.waitUntil) {
-		w.waitUntil = waitUntil
+	before := rec
+	rec.updatedAt = now
+	rec.leaving = rec.leaving || n.Leaving
+	if waitUntil := now.Add(min(n.Wait, maxWait)); n.Wait > 0 && waitUntil.After(rec.waitUntil) {
+		rec.waitUntil = waitUntil
 	}
-	b.records[server] = w
-	return w.leaving != before.leaving || w.waitUntil != before.waitUntil
+	b.records[server] = rec
+	return rec.leaving != before.leaving || rec.waitUntil != before.waitUntil
 }
 
 // Open reports whether an incarnation of a server takes calls, as far as its responses say.
 func (b *Book) Open(server, incarnation string, now time.Time) bool {
-	w, known := b.records[server]
-	return !known || w.incarnation != incarnation || !w.leaving && !now.Before(w.waitUntil)
+	rec, known := b.records[server]
+	return !known || rec.incarnation != incarnation || !rec.leaving && !now.Before(rec.waitUntil)
 }
 
 // Back returns when an incarnation that wants no calls takes them again. It returns false for one that takes calls now
 // and for one that is leaving.
 func (b *Book) Back(server, incarnation string, now time.Time) (time.Time, bool) {
-	w := b.records[server]
-	return w.waitUntil, !b.Open(server, incarnation, now) && !w.leaving
+	rec := b.records[server]
+	return rec.waitUntil, !b.Open(server, incarnation, now) && !rec.leaving
 }
 
 // Retain drops the records of servers for which known returns false, once their wait is over and unknownRetention has
 // passed since the last notice.
 func (b *Book) Retain(known func(server string) bool, now time.Time) {
-	for id, w := range b.records {
-		if !known(id) && now.Sub(w.updatedAt) > unknownRetention && now.After(w.waitUntil) {
+	for id, rec := range b.records {
+		if !known(id) && now.Sub(rec.updatedAt) > unknownRetention && now.After(rec.waitUntil) {
 			delete(b.records, id)
 		}
 	}
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -64,10 +64,14 @@
 
 // load is the load that this VM's requests put on one engine.
 type load struct {
-	running        int
-	prefillTokens  int
+	// running is the number of requests in flight.
+	running int
+	// prefillTokens is the number of prompt tokens that the engine still has to prefill.
+	prefillTokens int
+	// reservedTokens is the number of prompt and output tokens that the requests in flight may hold in memory.
 	reservedTokens int
-	cached         map[uint64]time.Time
+	// cached holds the time at which each prompt part was last sent, by the part's id.
+	cached map[uint64]time.Time
 }
 
 // Book tracks this VM's requests in flight by engine. It isn't safe for concurrent use.
@@ -107,6 +111,7 @@
 	return out
 }
 
+// cost returns the cost of an engine at a position in the session's order, in tokens.
 func (b *Book) cost(r *Request, e *Engine, position, memory int, now time.Time) float64 {
 	cost := float64(position) * affinityCost / 4
 	if position > 0 {
