--- a/pkg/fleet/state.go
+++ b/pkg/fleet/state.go
@@ -33,7 +33,7 @@
 	entries entryBook
 	current time.Time
 	// words are what servers said in their answers to this VM.
-	words  *holdoff.Book
+	words  *holdoff.Tracker
 	owners map[string]stageowner.Owner
 	// ownersWake is closed when an owner changes.
 	ownersWake chan struct{}
@@ -59,7 +59,7 @@
 // NewState returns an empty State.
 func NewState() *State {
 	s := &State{
-		out: make(map[string]time.Time), back: make(map[string]time.Time), dir: directory.New(), wake: make(chan struct{}), words: holdoff.NewBook(),
+		out: make(map[string]time.Time), back: make(map[string]time.Time), dir: directory.New(), wake: make(chan struct{}), words: holdoff.NewTracker(),
 		entries: newEntryBook(), owners: make(map[string]stageowner.Owner), ownersWake: make(chan struct{}),
 	}
 	for k := range s.stamps {
@@ -253,7 +253,7 @@
 	defer s.mu.RUnlock()
 	var out []Candidate
 	for _, v := range s.dir.Serving(service) {
-		if _, isOut := s.out[v.Domain]; isOut || !s.words.Open(v.ID, v.Incarnation(), now) {
+		if _, isOut := s.out[v.Domain]; isOut || !s.words.Available(v.ID, v.Incarnation(), now) {
 			continue
 		}
 		out = append(out, Candidate{Server: v, Cold: s.cold(v, now)})
@@ -278,7 +278,7 @@
 		return false
 	}
 	_, out := s.out[v.Domain]
-	return !out && s.words.Open(id, v.Incarnation(), time.Now())
+	return !out && s.words.Available(id, v.Incarnation(), time.Now())
 }
 
 // Noticed takes over what an incarnation of a server said in an answer to this VM, and reports whether that is news.
@@ -288,7 +288,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.words.Note(v.ID, v.Incarnation(), n, now)
+	return s.words.Record(v.ID, v.Incarnation(), n, now)
 }
 
 // Back returns when the first server of a service that wants no calls now takes them again; false when one takes them
@@ -301,10 +301,10 @@
 		if _, isOut := s.out[v.Domain]; isOut {
 			continue
 		}
-		if s.words.Open(v.ID, v.Incarnation(), now) {
+		if s.words.Available(v.ID, v.Incarnation(), now) {
 			return 0, false
 		}
-		if at, ok := s.words.Back(v.ID, v.Incarnation(), now); ok && (!found || at.Before(first)) {
+		if at, ok := s.words.AvailableAt(v.ID, v.Incarnation(), now); ok && (!found || at.Before(first)) {
 			first, found = at, true
 		}
 	}
@@ -315,7 +315,7 @@
 func (s *State) Open(v directory.Server, now time.Time) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.words.Open(v.ID, v.Incarnation(), now)
+	return s.words.Available(v.ID, v.Incarnation(), now)
 }
 
 // ServerAt returns the server to which an address belongs; false when none is known.
--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -81,7 +81,7 @@
 	// sessions are by grantor.
 	sessions map[string]*session
 	// words are what servers said in their answers to this VM.
-	words *holdoff.Book
+	words *holdoff.Tracker
 }
 
 // ask is the last request to one grantor.
@@ -99,7 +99,7 @@
 		held:     make(map[string]*Held),
 		order:    make(map[string][]*Held),
 		sessions: make(map[string]*session),
-		words:    holdoff.NewBook(),
+		words:    holdoff.NewTracker(),
 	}
 }
 
@@ -365,12 +365,12 @@
 
 // accepts reports whether a server takes calls, as far as its answers say.
 func (h *Holder) accepts(g *Held, now time.Time) bool {
-	return h.words.Open(g.Server.Server, g.Server.Incarnation, now)
+	return h.words.Available(g.Server.Server, g.Server.Incarnation, now)
 }
 
 // Noticed takes over what an incarnation of a server said in an answer, and reports whether that is news.
 func (h *Holder) Noticed(server, incarnation string, n holdoff.Notice, now time.Time) bool {
-	return h.words.Note(server, incarnation, n, now)
+	return h.words.Record(server, incarnation, n, now)
 }
 
 // Start notes that a call starts on a server. It returns false when no unit is left.
--- a/pkg/holdoff/holdoff.go
+++ b/pkg/holdoff/holdoff.go
@@ -50,8 +50,8 @@
 // Empty reports whether the notice says nothing.
 func (n Notice) Empty() bool { return !n.Leaving && n.Wait <= 0 }
 
-// Book holds the latest record of each server, by id. It isn't safe for concurrent use.
-type Book struct{ records map[string]record }
+// Tracker holds the latest record of each server, by id. It isn't safe for concurrent use.
+type Tracker struct{ records map[string]record }
 
 // record is what one incarnation of a server has said.
 type record struct {
@@ -60,16 +60,16 @@
 	waitUntil, updatedAt time.Time
 }
 
-// NewBook returns an empty Book.
-func NewBook() *Book { return &Book{records: make(map[string]record)} }
+// NewTracker returns an empty Book.
+func NewTracker() *Tracker { return &Tracker{records: make(map[string]record)} }
 
-// Note records the notice of a response and reports whether it changed anything. An incarnation that has said that it is
+// Record records the notice of a response and reports whether it changed anything. An incarnation that has said that it is
 // leaving stays so, and a later notice doesn't shorten a wait. A wait is cut off at an hour.
-func (b *Book) Note(server, incarnation string, n Notice, now time.Time) bool {
+func (t *Tracker) Record(server, incarnation string, n Notice, now time.Time) bool {
 	if n.Empty() {
 		return false
 	}
-	rec, known := b.records[server]
+	rec, known := t.records[server]
 	if !known || rec.incarnation != incarnation {
 		rec = record{incarnation: incarnation}
 	}
@@ -79,29 +79,29 @@
 	if waitUntil := now.Add(min(n.Wait, maxWait)); n.Wait > 0 && waitUntil.After(rec.waitUntil) {
 		rec.waitUntil = waitUntil
 	}
-	b.records[server] = rec
+	t.records[server] = rec
 	return rec.leaving != before.leaving || rec.waitUntil != before.waitUntil
 }
 
-// Open reports whether an incarnation of a server takes calls, as far as its responses say.
-func (b *Book) Open(server, incarnation string, now time.Time) bool {
-	rec, known := b.records[server]
+// Available reports whether an incarnation of a server takes calls, as far as its responses say.
+func (t *Tracker) Available(server, incarnation string, now time.Time) bool {
+	rec, known := t.records[server]
 	return !known || rec.incarnation != incarnation || !rec.leaving && !now.Before(rec.waitUntil)
 }
 
-// Back returns when an incarnation that wants no calls takes them again. It returns false for one that takes calls now
+// AvailableAt returns when an incarnation that wants no calls takes them again. It returns false for one that takes calls now
 // and for one that is leaving.
-func (b *Book) Back(server, incarnation string, now time.Time) (time.Time, bool) {
-	rec := b.records[server]
-	return rec.waitUntil, !b.Open(server, incarnation, now) && !rec.leaving
+func (t *Tracker) AvailableAt(server, incarnation string, now time.Time) (time.Time, bool) {
+	rec := t.records[server]
+	return rec.waitUntil, !t.Available(server, incarnation, now) && !rec.leaving
 }
 
 // Retain drops the records of servers for which known returns false, once their wait is over and unknownRetention has
 // passed since the last notice.
-func (b *Book) Retain(known func(server string) bool, now time.Time) {
-	for id, rec := range b.records {
+func (t *Tracker) Retain(known func(server string) bool, now time.Time) {
+	for id, rec := range t.records {
 		if !known(id) && now.Sub(rec.updatedAt) > unknownRetention && now.After(rec.waitUntil) {
-			delete(b.records, id)
+			delete(t.records, id)
 		}
 	}
 }
