--- a/pkg/holdoff/holdoff.go
+++ b/pkg/holdoff/holdoff.go
@@ -60,7 +60,7 @@
 	waitUntil, updatedAt time.Time
 }
 
-// NewTracker returns an empty Book.
+// NewTracker returns an empty Tracker.
 func NewTracker() *Tracker { return &Tracker{records: make(map[string]record)} }
 
 // Record records the notice of a response and reports whether it changed anything. An incarnation that has said that it is
