--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -74,13 +74,13 @@
 	cached map[uint64]time.Time
 }
 
-// Book tracks this VM's requests in flight by engine. It isn't safe for concurrent use.
-type Book struct {
+// Placer tracks this VM's requests in flight by engine. It isn't safe for concurrent use.
+type Placer struct {
 	engines map[string]*load
 }
 
-// NewBook returns an empty Book.
-func NewBook() *Book { return &Book{engines: make(map[string]*load)} }
+// NewPlacer returns an empty Placer.
+func NewPlacer() *Placer { return &Placer{engines: make(map[string]*load)} }
 
 // scoredEngine is an engine with its hash, which orders the engines of a session, and its cost.
 type scoredEngine struct {
@@ -89,8 +89,8 @@
 	cost   float64
 }
 
-// Choose returns the engines from best to worst. memory is the number of tokens that one engine can hold; 0 for no limit.
-func (b *Book) Choose(r Request, engines []Engine, memory int, now time.Time) []Engine {
+// Rank returns the engines from best to worst. memory is the number of tokens that one engine can hold; 0 for no limit.
+func (pl *Placer) Rank(r Request, engines []Engine, memory int, now time.Time) []Engine {
 	if len(engines) < 2 {
 		return engines
 	}
@@ -101,7 +101,7 @@
 	}
 	slices.SortFunc(list, func(x, y scoredEngine) int { return cmp.Compare(x.hash, y.hash) })
 	for i := range list {
-		list[i].cost = b.cost(&r, list[i].engine, i, memory, now)
+		list[i].cost = pl.cost(&r, list[i].engine, i, memory, now)
 	}
 	slices.SortStableFunc(list, func(x, y scoredEngine) int { return cmp.Compare(x.cost, y.cost) })
 	out := make([]Engine, len(list))
@@ -112,12 +112,12 @@
 }
 
 // cost returns the cost of an engine at a position in the session's order, in tokens.
-func (b *Book) cost(r *Request, e *Engine, position, memory int, now time.Time) float64 {
+func (pl *Placer) cost(r *Request, e *Engine, position, memory int, now time.Time) float64 {
 	cost := float64(position) * affinityCost / 4
 	if position > 0 {
 		cost += affinityCost
 	}
-	l := b.engines[e.ID]
+	l := pl.engines[e.ID]
 	if l != nil {
 		cost += float64(l.prefillTokens)*prefillWeight + float64(l.running*runningCost)
 		if r.Prompt != nil && memory > 0 && l.reservedTokens+r.Prompt.Tokens > memory {
@@ -175,22 +175,23 @@
 	return x ^ x>>33
 }
 
-// Sent is a request in flight at an engine.
-type Sent struct {
+// InFlight is a request in flight at an engine.
+type InFlight struct {
 	engine         string
 	prefillTokens  int
 	reservedTokens int
 	prefilled      bool
 }
 
-// Send records that a request is sent to an engine. p is nil for a request without a prompt.
-func (b *Book) Send(p *dialect.Prompt, engine string, now time.Time) *Sent {
-	l := b.engines[engine]
+// Add records that a request is sent to an engine and returns it for the calls below. p is nil for a request without a
+// prompt.
+func (pl *Placer) Add(p *dialect.Prompt, engine string, now time.Time) *InFlight {
+	l := pl.engines[engine]
 	if l == nil {
 		l = &load{cached: make(map[uint64]time.Time)}
-		b.engines[engine] = l
+		pl.engines[engine] = l
 	}
-	s := &Sent{engine: engine}
+	s := &InFlight{engine: engine}
 	if p != nil {
 		s.prefillTokens, s.reservedTokens = l.uncachedTokens(p, now), p.Tokens+p.MaxOutput
 		for _, part := range p.Parts {
@@ -203,19 +204,19 @@
 	return s
 }
 
-// Started records that the engine has prefilled the prompt.
-func (b *Book) Started(s *Sent) {
-	if l := b.engines[s.engine]; l != nil && !s.prefilled {
+// PrefillDone records that the engine has prefilled the prompt.
+func (pl *Placer) PrefillDone(s *InFlight) {
+	if l := pl.engines[s.engine]; l != nil && !s.prefilled {
 		s.prefilled = true
 		l.prefillTokens -= s.prefillTokens
 	}
 }
 
-// Ended records that the request no longer runs on the engine. It must be called once only. With failed, the engine may
+// Remove records that the request no longer runs on the engine. It must be called once only. With failed, the engine may
 // have lost its cache and is taken to have nothing cached.
-func (b *Book) Ended(s *Sent, failed bool) {
-	b.Started(s)
-	l := b.engines[s.engine]
+func (pl *Placer) Remove(s *InFlight, failed bool) {
+	pl.PrefillDone(s)
+	l := pl.engines[s.engine]
 	if l == nil {
 		return
 	}
@@ -227,10 +228,10 @@
 }
 
 // Retain drops idle engines for which keep returns false, and cached parts older than prefixTTL.
-func (b *Book) Retain(keep func(engine string) bool, now time.Time) {
-	for id, l := range b.engines {
+func (pl *Placer) Retain(keep func(engine string) bool, now time.Time) {
+	for id, l := range pl.engines {
 		if !keep(id) && l.running == 0 {
-			delete(b.engines, id)
+			delete(pl.engines, id)
 			continue
 		}
 		for part, at := range l.cached {
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -94,7 +94,7 @@
 
 	mu     sync.Mutex
 	health *health
-	book   *placement.Book
+	book   *placement.Placer
 	plain  map[string]int
 	// patience is the longest that callers of each route were ready to wait.
 	patience map[string]time.Duration
@@ -103,7 +103,7 @@
 // New returns a Relay.
 func New(o Options) *Relay {
 	return &Relay{
-		opts: o, cold: allowance.NewWindow(time.Second), answered: logsink.NewBudget(logsink.AnsweredPerSecond), health: newHealth(), book: placement.NewBook(),
+		opts: o, cold: allowance.NewWindow(time.Second), answered: logsink.NewBudget(logsink.AnsweredPerSecond), health: newHealth(), book: placement.NewPlacer(),
 		plain: make(map[string]int), patience: make(map[string]time.Duration),
 		liveness: liveness.New(o.Pool, func(id string) (directory.Server, bool) { return o.Knowledge.Server(id) }),
 	}
@@ -204,7 +204,7 @@
 	failedStage string
 	// chains is how often the stages were run.
 	chains int
-	sent   *placement.Sent
+	sent   *placement.InFlight
 	// tried are the servers that were sent the request, in order.
 	tried []string
 	ran   int
--- a/pkg/relay/run.go
+++ b/pkg/relay/run.go
@@ -204,7 +204,7 @@
 	}
 	q := placement.Request{Prompt: x.call.Prompt, InputMB: x.inputMB, Domain: r.opts.FailureDomain}
 	out := make([]fleet.Candidate, 0, len(candidates))
-	for _, e := range r.book.Choose(q, engines, x.service.Engine.CacheTokens, now) {
+	for _, e := range r.book.Rank(q, engines, x.service.Engine.CacheTokens, now) {
 		out = append(out, byID[e.ID])
 	}
 	return out
--- a/pkg/relay/send.go
+++ b/pkg/relay/send.go
@@ -186,7 +186,7 @@
 	x.onServer = true
 	x.flight = r.opts.Suspects.Begin(liveness.Target(c.Server), x.print)
 	if x.service.Engine != nil {
-		x.sent = r.book.Send(x.call.Prompt, c.ID, now)
+		x.sent = r.book.Add(x.call.Prompt, c.ID, now)
 	} else {
 		r.plain[c.ID]++
 	}
@@ -198,7 +198,7 @@
 	defer r.mu.Unlock()
 	r.health.answered(x.service.Name, c.ID, first, time.Now())
 	if x.sent != nil {
-		r.book.Started(x.sent)
+		r.book.PrefillDone(x.sent)
 	}
 }
 
@@ -216,7 +216,7 @@
 		r.health.failed(c.ID, time.Now())
 	}
 	if x.sent != nil {
-		r.book.Ended(x.sent, lost)
+		r.book.Remove(x.sent, lost)
 		x.sent = nil
 	} else if r.plain[c.ID]--; r.plain[c.ID] <= 0 {
 		delete(r.plain, c.ID)
