--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -104,26 +104,26 @@
 	return times
 }
 
-// Repeats is a retry budget for each service. In a sliding window, all VMs together may send requests again at most
+// RetryBudget is a retry budget for each service. In a sliding window, all VMs together may send requests again at most
 // ratio times the number of requests, plus extra.
-type Repeats struct {
+type RetryBudget struct {
 	ratio    float64
 	extra    float64
 	requests *Window
 	retries  *Window
 }
 
-// NewRepeats returns a retry budget over a window of the given length.
-func NewRepeats(ratio float64, extra float64, window time.Duration) *Repeats {
-	return &Repeats{ratio: ratio, extra: extra, requests: NewWindow(window), retries: NewWindow(window)}
+// NewRetryBudget returns a retry budget over a window of the given length.
+func NewRetryBudget(ratio float64, extra float64, window time.Duration) *RetryBudget {
+	return &RetryBudget{ratio: ratio, extra: extra, requests: NewWindow(window), retries: NewWindow(window)}
 }
 
-// Request counts a request for a service.
-func (r *Repeats) Request(service string, now time.Time) { r.requests.Add(service, now) }
+// CountRequest counts a request for a service.
+func (r *RetryBudget) CountRequest(service string, now time.Time) { r.requests.Add(service, now) }
 
-// Allow takes one retry out of this VM's share and reports whether one was left; entries is the number of VMs that
+// TakeRetry takes one retry out of this VM's share and reports whether one was left; entries is the number of VMs that
 // share extra.
-func (r *Repeats) Allow(service string, entries int, now time.Time) bool {
+func (r *RetryBudget) TakeRetry(service string, entries int, now time.Time) bool {
 	limit := r.ratio*float64(r.requests.Count(service, now)) + r.extra/float64(max(entries, 1))
 	return r.retries.Take(service, int(limit*utilisation), now)
 }
--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -51,21 +51,21 @@
 func TestRetriesOfAllVMsStayWithinTheBudget(t *testing.T) {
 	const vms, ratio, extra = 7, 0.2, 54
 	window := 10 * time.Second
-	var budgets []*Repeats
+	var budgets []*RetryBudget
 	for range vms {
-		budgets = append(budgets, NewRepeats(ratio, extra, window))
+		budgets = append(budgets, NewRetryBudget(ratio, extra, window))
 	}
 	now := time.Unix(100, 0)
-	requests, repeats := NewWindow(window), NewWindow(window)
+	requests, retries := NewWindow(window), NewWindow(window)
 	for i := range 20_000 {
 		now = now.Add(5 * time.Millisecond)
 		budget := budgets[i*i%vms]
-		budget.Request("s", now)
+		budget.CountRequest("s", now)
 		requests.Add("s", now)
-		for budget.Allow("s", vms, now) {
-			repeats.Add("s", now)
+		for budget.TakeRetry("s", vms, now) {
+			retries.Add("s", now)
 		}
-		require.LessOrEqual(t, float64(repeats.Count("s", now)), ratio*float64(requests.Count("s", now))+extra)
+		require.LessOrEqual(t, float64(retries.Count("s", now)), ratio*float64(requests.Count("s", now))+extra)
 	}
-	require.Positive(t, repeats.Count("s", now))
+	require.Positive(t, retries.Count("s", now))
 }
--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -392,7 +392,7 @@
 		}),
 		Pool:        f.pool,
 		Suspects:    f.suspects,
-		Repeats:     allowance.NewRepeats(s.RetryRatio, s.RetryExtra, s.RetryWindow),
+		Repeats:     allowance.NewRetryBudget(s.RetryRatio, s.RetryExtra, s.RetryWindow),
 		ColdOverrun: s.ColdOverrun, ColdExtra: s.ColdExtra, Log: k.Log().WithName("relay"),
 	})
 	o.addCheck("configuration", f.ready)
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -64,7 +64,7 @@
 	// Suspects keeps requests under which servers ended from being sent on.
 	Suspects *quarantine.Tracker
 	// Repeats bounds the sends beyond the first.
-	Repeats *allowance.Repeats
+	Repeats *allowance.RetryBudget
 	// ColdOverrun and ColdExtra bound what a cold server gets in a second from all VMs.
 	ColdOverrun float64
 	ColdExtra   float64
--- a/pkg/relay/run.go
+++ b/pkg/relay/run.go
@@ -22,7 +22,7 @@
 	if !x.runStages() {
 		return
 	}
-	x.relay.opts.Repeats.Request(x.service.Name, x.begin)
+	x.relay.opts.Repeats.CountRequest(x.service.Name, x.begin)
 	sends := 0
 	for {
 		if x.inputs.gone() && !x.runStages() {
@@ -142,7 +142,7 @@
 		ending: res.ending, route: x.route, runs: x.ran, sends: sends, delivered: x.started,
 		crashes: x.relay.opts.Suspects.Crashes(x.print), left: x.deadline.Sub(now), others: others, restage: x.mayRunChain(), inputsGone: x.inputs.gone(),
 		allowed: func() bool {
-			return x.relay.opts.Repeats.Allow(x.service.Name, len(x.relay.opts.Knowledge.Entries(now)), now)
+			return x.relay.opts.Repeats.TakeRetry(x.service.Name, len(x.relay.opts.Knowledge.Entries(now)), now)
 		},
 	}
 }
