--- a/pkg/liveness/liveness.go
+++ b/pkg/liveness/liveness.go
@@ -59,10 +59,10 @@
 	return engine.Target{Server: v.ID, Incarnation: v.Incarnation()}
 }
 
-// Look returns the state of the incarnation v of a server, and counts a crash against runs, the requests that were on it,
+// Check returns the state of the incarnation v of a server, and counts a crash against runs, the requests that were on it,
 // when the incarnation has ended. A silent server is polled in the background, and its crash is counted once another
 // incarnation has replaced it.
-func (c *Checker) Look(ctx context.Context, v directory.Server, runs ...*quarantine.Run) State {
+func (c *Checker) Check(ctx context.Context, v directory.Server, runs ...*quarantine.Run) State {
 	state := c.probe(ctx, v)
 	switch state {
 	case Ended:
--- a/pkg/relay/unanswered.go
+++ b/pkg/relay/unanswered.go
@@ -14,7 +14,7 @@
 func (x *exchange) unanswered(c fleet.Candidate, res *sendResult) {
 	begun, reason, flight, before := res.begun, res.reason(), x.flight, x.relay.opts.Suspects.Crashes(x.print)
 	look := func() {
-		state := x.relay.liveness.Look(x.ctx, c.Server, flight)
+		state := x.relay.liveness.Check(x.ctx, c.Server, flight)
 		metrics.GetOrCreateCounter(fmt.Sprintf(`daisyhatch_relay_unanswered_total{server=%q}`, state)).Inc()
 		x.relay.opts.Log.Info("send without an answer", "request", x.call.ID, "fingerprint", strconv.FormatUint(x.print, 16),
 			"service", x.service.Name, "server", c.ID, "incarnation", c.Incarnation(), "server_state", string(state),
--- a/pkg/stagecall/pool.go
+++ b/pkg/stagecall/pool.go
@@ -221,7 +221,7 @@
 	state := liveness.State("")
 	var e *upstream.Error
 	if errors.As(err, &e) && e.Sent {
-		state = p.runner.liveness.Look(context.Background(), c.Server.record(), runs...)
+		state = p.runner.liveness.Check(context.Background(), c.Server.record(), runs...)
 	}
 	for _, r := range runs {
 		r.End()
