--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -158,7 +158,7 @@
 	reporter.PreferOwn(f.control)
 	p.handle(f.control.Handler(compressLarge()))
 	r := chi.NewRouter()
-	f.dialect.Operators(r, f.control)
+	f.dialect.AddControlRoutes(r, f.control)
 	f.operators = listen.New(listen.Options{
 		Name: "operators", Address: f.settings.Listen.Operators.String(), Handler: r, Network: f.network, Log: k.Log(),
 	})
--- a/pkg/dialect/dialect.go
+++ b/pkg/dialect/dialect.go
@@ -32,8 +32,8 @@
 	Catalog(document []byte) (*catalog.Set, error)
 	// Call parses the header of a caller's request. Errors: ErrFormat.
 	Call(h http.Header) (Call, error)
-	// Outgoing returns the header to send to a backend server for an attempt at a request with the caller's header.
-	Outgoing(caller http.Header, a Attempt) http.Header
+	// RequestHeader returns the header to send to a backend server for an attempt at a request with the caller's header.
+	RequestHeader(caller http.Header, a Attempt) http.Header
 	// Answer parses the status and header of a server's response.
 	Answer(status int, h http.Header) Answer
 	// StageCall returns the method, path and body of a stage call that runs pieces.
@@ -49,8 +49,8 @@
 	// TargetHeader returns the header of a call that only the given server accepts: another server that has taken over
 	// its address refuses the call. remaining is the time until the deadline.
 	TargetHeader(server string, remaining time.Duration) http.Header
-	// Operators adds the routes for calls of operators and backend servers.
-	Operators(r chi.Router, c Control)
+	// AddControlRoutes adds the routes for calls of operators and backend servers.
+	AddControlRoutes(r chi.Router, c Control)
 	// ReadinessPath returns the path at which the platform asks whether the VM is ready for callers.
 	ReadinessPath() string
 }
@@ -70,9 +70,9 @@
 type Call struct {
 	// ID identifies the caller's attempt.
 	ID string
-	// Patience is how long the caller waits; 0 when it doesn't say.
-	Patience time.Duration
-	Key      string
+	// MaxWait is how long the caller waits; 0 when it doesn't say.
+	MaxWait time.Duration
+	Key     string
 	// ResumeAfter is the id of the last event that the caller has received; empty for a stream from the start.
 	ResumeAfter string
 	// Prompt is nil for requests without one.
@@ -109,8 +109,8 @@
 	// Inputs are the handles of the stage results that the request reads.
 	Inputs      []string
 	ResumeAfter string
-	// Urgency is the priority given to the engine, from 0 (served first) to 9; a negative value sets none.
-	Urgency int
+	// Priority is the priority given to the engine, from 0 (served first) to 9; a negative value sets none.
+	Priority int
 }
 
 // Answer is what the status and header of a server's response say.
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -246,7 +246,7 @@
 	if !x.authenticate() {
 		return false
 	}
-	patience := x.call.Patience
+	patience := x.call.MaxWait
 	if patience <= 0 {
 		patience = defaultPatience
 	}
--- a/pkg/relay/send.go
+++ b/pkg/relay/send.go
@@ -66,9 +66,9 @@
 	call := upstream.Call{
 		Address: c.Address, Method: x.req.Method, Target: x.req.RequestURI, Host: x.req.Host, Body: x.body,
 		HasBody: x.req.ContentLength != 0 || len(x.req.TransferEncoding) > 0,
-		Header: r.opts.Dialect.Outgoing(x.req.Header, dialect.Attempt{
+		Header: r.opts.Dialect.RequestHeader(x.req.Header, dialect.Attempt{
 			Server: c.ID, Remaining: x.deadline.Sub(begun), Organisation: x.organisation, Inputs: x.inputs.list(),
-			ResumeAfter: x.lastEvent, Urgency: urgency(x.priority),
+			ResumeAfter: x.lastEvent, Priority: urgency(x.priority),
 		}),
 		Owns: func(h http.Header) bool {
 			id := r.opts.Dialect.Answer(0, h).CallID
