--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func valid() *Set {
+func validSet() *Set {
 	return &Set{
 		Version: 3,
 		Services: map[string]*Service{
@@ -24,7 +24,7 @@
 }
 
 func TestValidSetMatchesByLongestPrefixAndKey(t *testing.T) {
-	s := valid()
+	s := validSet()
 	require.NoError(t, s.Check())
 	require.Equal(t, "deep", s.Match("h", "/a/b/c").Name)
 	require.Equal(t, "r", s.Match("h", "/a/x").Name)
@@ -56,7 +56,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := valid()
+			s := validSet()
 			c.mutate(s)
 			err := s.Check()
 			require.ErrorIs(t, err, ErrInvalid)
@@ -66,7 +66,7 @@
 }
 
 func TestPickFollowsTheWeights(t *testing.T) {
-	r := valid().Routes[0]
+	r := validSet().Routes[0]
 	require.Equal(t, "desk", r.Pick(0))
 	require.Equal(t, "desk", r.Pick(0.89))
 	require.Equal(t, "encode", r.Pick(0.91))
--- a/pkg/liveness/liveness.go
+++ b/pkg/liveness/liveness.go
@@ -99,11 +99,11 @@
 
 // announced returns the state according to the server's announcements; empty when they say that it is ready or nothing.
 func (c *Checker) announced(v directory.Server) State {
-	now, known := c.lookup(v.ID)
+	current, known := c.lookup(v.ID)
 	switch {
-	case known && now.Born != v.Born:
+	case known && current.Born != v.Born:
 		return Ended
-	case known && now.State != directory.Ready:
+	case known && current.State != directory.Ready:
 		return Leaving
 	}
 	return ""
--- a/pkg/suspect/suspect_test.go
+++ b/pkg/suspect/suspect_test.go
@@ -55,7 +55,7 @@
 			require.NoError(t, err)
 			alone := c.GetAlone() && len(c.GetFingerprints()) == 1
 			for i, f := range c.GetFingerprints() {
-				e := expect(oracle, f, c.GetServer()+"/"+c.GetServerIncarnation(), alone, now)
+				e := expectedRecord(oracle, f, c.GetServer()+"/"+c.GetServerIncarnation(), alone, now)
 				got := r.GetSuspects()[i]
 				require.Equal(t, e.isConvicted, got.GetState() == convicted)
 				require.Equal(t, !e.isConvicted, got.GetState() == suspected)
@@ -71,7 +71,8 @@
 	})
 }
 
-func expect(oracle map[uint64]*oracleRecord, f uint64, crash string, alone bool, now int64) *oracleRecord {
+// expectedRecord counts a crash in the model and returns the record that the table must have.
+func expectedRecord(oracle map[uint64]*oracleRecord, f uint64, crash string, alone bool, now int64) *oracleRecord {
 	e := oracle[f]
 	if e == nil || e.expires <= now {
 		e = &oracleRecord{crashes: make(map[string]bool)}
