--- a/pkg/slots/bench_test.go
+++ b/pkg/slots/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/daisyhatch/daisyhatch/pkg/grant"
 )
 
-// holding returns Slots that hold units of n servers, as an entry VM does out of 2,800 replicas.
-func holding(b *testing.B, n int) *Slots {
+// newSlotsHolding returns Slots that hold units of n servers, as an entry VM in a fleet of 2,800 replicas does.
+func newSlotsHolding(b *testing.B, n int) *Slots {
 	b.Helper()
 	s := New(Options{VM: "e", Incarnation: "1", FailureDomain: "a"})
 	now := time.Now()
@@ -34,6 +34,7 @@
 	return s
 }
 
+// prefix returns n distinct hashes of prefix blocks.
 func prefix(n int) []uint64 {
 	out := make([]uint64, n)
 	for i := range out {
@@ -42,7 +43,7 @@
 	return out
 }
 
-// BenchmarkDecision measures admission, route and grant check of one call, with 21,000 organisations known.
+// BenchmarkDecision measures admission, routing and the grant check of one call, with 21,000 organisations known.
 func BenchmarkDecision(b *testing.B) {
 	names := make([]string, 21_000)
 	organisations := make(map[string]int, len(names))
@@ -52,7 +53,7 @@
 	}
 	for _, held := range []int{12, 24, 48} {
 		b.Run(fmt.Sprint("servers-held-", held), func(b *testing.B) {
-			s := holding(b, held)
+			s := newSlotsHolding(b, held)
 			s.opts.Weight = func(o string) int { return organisations[o] }
 			set := &config.Set{
 				Stages:    map[string]*config.Stage{"g": {Name: "g", Pool: "gen"}},
@@ -85,11 +86,11 @@
 	}
 }
 
-// BenchmarkRoute measures the slot alone: route and grant check.
+// BenchmarkRoute measures the slot alone: routing and the grant check.
 func BenchmarkRoute(b *testing.B) {
 	for _, blocks := range []int{0, 32} {
 		b.Run(fmt.Sprint("prefix-blocks-", blocks), func(b *testing.B) {
-			s := holding(b, 48)
+			s := newSlotsHolding(b, 48)
 			ctx := context.Background()
 			r := dispatch.SlotRequest{Pool: "gen", Organisation: "o", Prefix: prefix(blocks), Deadline: time.Now().Add(time.Hour)}
 			b.ReportAllocs()
@@ -106,7 +107,7 @@
 	}
 }
 
-// BenchmarkLimited measures the door for organisations with limits.
+// BenchmarkLimited measures admission for organisations with limits.
 func BenchmarkLimited(b *testing.B) {
 	c := admission.NewController("e", "1")
 	l := admission.Limits{Rate: 1e9, Burst: 1e9, Concurrency: 1 << 20}
@@ -132,7 +133,7 @@
 	b.ReportMetric(float64(cpuTime(b)-begin)/float64(b.N), "cpu-ns/op")
 }
 
-// cpuTime returns the processor time that the process has used.
+// cpuTime returns the CPU time that the process has used.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
--- a/pkg/slots/cache.go
+++ b/pkg/slots/cache.go
@@ -7,7 +7,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/grant"
 )
 
-// CacheServers returns the backend servers that publish cache events and on which this VM holds grants or lately did.
+// CacheServers returns the backend servers that publish cache events and on which this VM holds grants or recently did.
 func (s *Slots) CacheServers() []engine.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,9 +22,9 @@
 	return out
 }
 
-// CacheEvents takes over events of the cache of a server that CacheServers returned. Those of an incarnation that is
-// not the present one are dropped. It returns false when the events show a gap; what was known of the server's cache
-// before the gap is dropped then.
+// CacheEvents applies cache events of a server that CacheServers returned. Events of an incarnation other than the
+// present one are ignored. It returns false when the events show a gap; what the index held of the server from before
+// the gap is then dropped.
 func (s *Slots) CacheEvents(t engine.Target, events []engine.CacheEvent) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,17 +32,17 @@
 	if !ok || g.Server.Incarnation != t.Incarnation {
 		return true
 	}
-	index, whole := s.pool(g.Server.Pool).picker.Index(), true
+	index, contiguous := s.pool(g.Server.Pool).picker.Index(), true
 	index.Follow(t.Server, t.Incarnation)
 	for _, e := range events {
 		if !index.Event(t.Server, e.Sequence, e.Stored, e.Removed, e.Cleared) {
-			whole = false
+			contiguous = false
 		}
 	}
-	return whole
+	return contiguous
 }
 
-// CacheUnfollowed notes that a server's cache events are not read for a while.
+// CacheUnfollowed records that a server's cache events are not read for the time being.
 func (s *Slots) CacheUnfollowed(t engine.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/slots/cluster_test.go
+++ b/pkg/slots/cluster_test.go
@@ -26,7 +26,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/slots"
 )
 
-// network is an HTTP client that calls handlers by address.
+// network is an HTTP client that dispatches requests to in-process handlers by address.
 type network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
@@ -57,11 +57,11 @@
 	return w.Result(), nil
 }
 
-// sharedLog is one log under several control VMs.
+// sharedLog is a replicated log shared by several control VMs in one process.
 type sharedLog struct {
 	*replica.Local
 	peers []*daisyhatchv1.ConsensusPeer
-	// delay is how long a proposal takes; nil means no time.
+	// delay returns how long a proposal takes; nil means no delay.
 	delay func() time.Duration
 }
 
@@ -80,40 +80,40 @@
 	return s
 }
 
-// starts is what was seen of the calls that began on each server.
+// callStarts records the calls that started on each server, by server name.
 type starts struct {
-	most map[string]int
-	last map[string]time.Time
-	// gap is the longest time between two starts on each server.
-	gap map[string]time.Duration
+	maxRunning map[string]int
+	lastStart  map[string]time.Time
+	// maxGap is the longest time between two consecutive starts.
+	maxGap map[string]time.Duration
 }
 
-// cluster is control VMs, entry VMs and announcing backend servers in one process.
+// cluster runs control VMs, entry VMs and announcing backend servers in one process.
 type cluster struct {
 	*testing.T
-	network *network
-	machine *fsm.Machine
-	log     *sharedLog
-	check   *invariant.Recorder
-	control map[string]*grantservice.Service
-	entries []*slots.Slots
+	network    *network
+	machine    *fsm.Machine
+	log        *sharedLog
+	invariants *invariant.Recorder
+	control    map[string]*grantservice.Service
+	entries    []*slots.Slots
 
-	mu      sync.Mutex
-	version uint64
-	set     *config.Set
-	running map[string]int
-	seen    starts
-	servers []*daisyhatchv1.Announcement
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+	mu         sync.Mutex
+	version    uint64
+	set        *config.Set
+	running    map[string]int
+	startStats starts
+	servers    []*daisyhatchv1.Announcement
+	stop       context.CancelFunc
+	done       sync.WaitGroup
 }
 
 func newCluster(t *testing.T, controls, entries, servers int) *cluster {
 	c := &cluster{
 		T: t, network: &network{handlers: make(map[string]http.Handler)}, machine: fsm.New(),
-		check: invariant.NewRecorder(logr.Discard()), control: make(map[string]*grantservice.Service),
+		invariants: invariant.NewRecorder(logr.Discard()), control: make(map[string]*grantservice.Service),
 		running: make(map[string]int), version: 1, set: testSet(""),
-		seen: starts{most: make(map[string]int), last: make(map[string]time.Time), gap: make(map[string]time.Duration)},
+		startStats: starts{maxRunning: make(map[string]int), lastStart: make(map[string]time.Time), maxGap: make(map[string]time.Duration)},
 	}
 	c.log = &sharedLog{Local: replica.NewLocal("c0", c.machine)}
 	for i := range controls {
@@ -139,6 +139,8 @@
 	return c
 }
 
+// testSet returns a configuration with one pool and three failure domains, of which the one named out is taken out of
+// service; "" takes out none.
 func testSet(out string) *config.Set {
 	set := &config.Set{
 		FailureDomains: make(map[string]*config.FailureDomain),
@@ -167,7 +169,7 @@
 			defer c.mu.Unlock()
 			return c.version, c.set
 		},
-		Invariants: c.check, Logger: logr.Discard(),
+		Invariants: c.invariants, Logger: logr.Discard(),
 	})
 	path, handler := s.Handler()
 	mux := http.NewServeMux()
@@ -177,7 +179,7 @@
 	c.control[name] = s
 }
 
-// kill cuts a control VM off for good without a word.
+// kill disconnects a control VM for good, without releasing its leases.
 func (c *cluster) kill(name string) {
 	c.network.handle(name+":1", nil)
 	c.control[name].Abort()
@@ -186,7 +188,7 @@
 
 func (c *cluster) startEntry(name string) {
 	e := slots.New(slots.Options{
-		VM: name, Incarnation: "1", FailureDomain: "a", HTTP: c.network, Invariants: c.check, Logger: logr.Discard(),
+		VM: name, Incarnation: "1", FailureDomain: "a", HTTP: c.network, Invariants: c.invariants, Logger: logr.Discard(),
 		Grantors: func(shard uint32) (string, bool) {
 			holder := c.machine.Lease(grant.LeaseName(shard)).GetHolder()
 			return holder + ":1", holder != ""
@@ -196,12 +198,12 @@
 	c.entries = append(c.entries, e)
 }
 
-// announce renews the servers' announcements each second, with their true load.
+// announce sends the servers' announcements with their current load every grant.AnnounceEvery.
 func (c *cluster) announce(ctx context.Context) {
 	defer c.done.Done()
 	for {
 		for _, a := range c.announcements() {
-			_ = c.entries[0].Announce(ctx, a) // while a shard has no grantor the next renewal comes in time
+			_ = c.entries[0].Announce(ctx, a) // fails while the shard has no grantor; the next announcement succeeds
 		}
 		select {
 		case <-ctx.Done():
@@ -224,7 +226,7 @@
 	return out
 }
 
-// close stops everything and checks that no invariant broke.
+// close stops everything and checks that no invariant was violated.
 func (c *cluster) close() {
 	c.stop()
 	c.done.Wait()
@@ -234,10 +236,11 @@
 	for _, s := range c.control {
 		require.NoError(c, s.Stop(context.Background()))
 	}
-	broken, _ := c.check.Violations()
+	broken, _ := c.invariants.Violations()
 	require.Empty(c, broken)
 }
 
+// request returns a request for a slot whose deadline is the given time from now.
 func request(organisation string, deadline time.Duration) dispatch.SlotRequest {
 	return dispatch.SlotRequest{Pool: "gen", Organisation: organisation, Deadline: time.Now().Add(deadline)}
 }
@@ -260,35 +263,35 @@
 	return wait, nil
 }
 
-// begin notes that a call began on a server.
+// begin records that a call started on a server.
 func (c *cluster) begin(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running[server]++
-	c.seen.most[server] = max(c.seen.most[server], c.running[server])
-	if !c.seen.last[server].IsZero() {
-		c.seen.gap[server] = max(c.seen.gap[server], time.Since(c.seen.last[server]))
+	c.startStats.maxRunning[server] = max(c.startStats.maxRunning[server], c.running[server])
+	if !c.startStats.lastStart[server].IsZero() {
+		c.startStats.maxGap[server] = max(c.startStats.maxGap[server], time.Since(c.startStats.lastStart[server]))
 	}
-	c.seen.last[server] = time.Now()
+	c.startStats.lastStart[server] = time.Now()
 }
 
-// starts returns a copy of what was seen so far.
+// starts returns a copy of the call starts recorded so far.
 func (c *cluster) starts() starts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return starts{most: maps.Clone(c.seen.most), last: maps.Clone(c.seen.last), gap: maps.Clone(c.seen.gap)}
+	return starts{maxRunning: maps.Clone(c.startStats.maxRunning), lastStart: maps.Clone(c.startStats.lastStart), maxGap: maps.Clone(c.startStats.maxGap)}
 }
 
-// forgetGaps begins to measure gaps anew.
-func (c *cluster) forgetGaps() {
+// resetGaps discards the gaps measured so far.
+func (c *cluster) resetGaps() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.seen.gap)
+	clear(c.startStats.maxGap)
 }
 
-// workers keeps n calls in flight on each entry VM until the returned func is called. That func returns the longest
-// wait for a slot and the count of refusals.
-func (c *cluster) workers(n int, length time.Duration) (stop func() (longest time.Duration, refused int)) {
+// runWorkers keeps n calls in flight on each entry VM until the returned function is called, which returns the longest
+// wait for a slot and the number of refusals.
+func (c *cluster) runWorkers(n int, length time.Duration) (stop func() (longest time.Duration, refused int)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var longest time.Duration
--- a/pkg/slots/late_test.go
+++ b/pkg/slots/deadline_test.go
@@ -13,12 +13,12 @@
 	"github.com/daisyhatch/daisyhatch/pkg/slots"
 )
 
-// callTime is how long the calls of these tests take.
-const callTime = 500 * time.Millisecond
+// callDuration is how long the calls of these tests take.
+const callDuration = 500 * time.Millisecond
 
-// fill warms one server with calls of callTime and then takes all its units.
-func (c *cluster) fill() []dispatch.Slot {
-	stop := c.workers(4, callTime)
+// fillServer warms up one server with calls of callDuration and then occupies all its units.
+func (c *cluster) fillServer() []dispatch.Slot {
+	stop := c.runWorkers(4, callDuration)
 	time.Sleep(20 * time.Second)
 	stop()
 	var held []dispatch.Slot
@@ -30,8 +30,8 @@
 	return held
 }
 
-// wait begins to wait for a slot and returns a channel for what comes of it.
-func wait(e *slots.Slots, r dispatch.SlotRequest) <-chan error {
+// acquireAsync starts to wait for a slot and returns a channel for the result.
+func acquireAsync(e *slots.Slots, r dispatch.SlotRequest) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
 		sl, err := e.Acquire(context.Background(), r)
@@ -44,23 +44,23 @@
 	return ended
 }
 
-// TestLateCallGivesWay lets a call wait until it can't end in time any more. It is refused at once when another waits
-// behind it, and served when none does.
-func TestLateCallGivesWay(t *testing.T) {
+// TestLateCallIsRefusedWhenOthersWait queues a call until it can't meet its deadline any more. It must be refused then
+// if another call waits behind it, and served otherwise.
+func TestLateCallIsRefusedWhenOthersWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, behind := range []bool{true, false} {
 			c := newCluster(t, 1, 1, 1)
-			held := c.fill()
+			held := c.fillServer()
 			begin := time.Now()
-			late := wait(c.entries[0], request("o", 2*callTime))
+			late := acquireAsync(c.entries[0], request("o", 2*callDuration))
 			var other <-chan error
 			if behind {
-				other = wait(c.entries[0], request("o", time.Minute))
+				other = acquireAsync(c.entries[0], request("o", time.Minute))
 			}
-			time.Sleep(3 * callTime / 2)
+			time.Sleep(3 * callDuration / 2)
 			held[0].Done(dispatch.Report{})
 			err := <-late
-			require.Equal(t, 3*callTime/2, time.Since(begin))
+			require.Equal(t, 3*callDuration/2, time.Since(begin))
 			if behind {
 				var e *apierr.Error
 				require.ErrorAs(t, err, &e)
@@ -78,11 +78,12 @@
 	})
 }
 
-// TestSpareCallNeverWaits refuses a spare call at once while all units are in use, and serves it when one is free.
+// TestSpareCallNeverWaits checks that a spare call is refused at once while all units are in use, and served when one
+// is free.
 func TestSpareCallNeverWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 1, 1)
-		held := c.fill()
+		held := c.fillServer()
 		spare := request("o", time.Minute)
 		spare.Spare = true
 		begin := time.Now()
@@ -94,17 +95,18 @@
 		for _, sl := range held {
 			sl.Done(dispatch.Report{})
 		}
-		require.NoError(t, <-wait(c.entries[0], spare))
+		require.NoError(t, <-acquireAsync(c.entries[0], spare))
 		c.close()
 	})
 }
 
-// TestForecastCountsEarlierStages has the same calls run as an earlier stage of the pipeline, and as one of another.
+// TestForecastCountsEarlierStages compares the forecast while calls of the pipeline's earlier stage are running with
+// the forecast while the same calls belong to another pipeline.
 func TestForecastCountsEarlierStages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 1, 2)
 		c.publish(pipelineSet())
-		stop := c.workers(8, callTime)
+		stop := c.runWorkers(8, callDuration)
 		time.Sleep(20 * time.Second)
 		stop()
 		forecast := func(stage string) time.Duration {
@@ -112,7 +114,7 @@
 			for range 16 {
 				r := request("o", time.Minute)
 				r.Stage = stage
-				ended = append(ended, waitFor(c, r))
+				ended = append(ended, callAsync(c, r))
 			}
 			f := c.entries[0].Forecast(c.set, "p", "o")
 			for _, e := range ended {
@@ -120,29 +122,30 @@
 			}
 			return f
 		}
-		require.Greater(t, forecast("one"), forecast("other")+callTime)
+		require.Greater(t, forecast("one"), forecast("other")+callDuration)
 		c.close()
 	})
 }
 
-// TestForecastRefusesNothingWhileNobodyWaits has calls take longer than any deadline; later ones must get their chance.
-func TestForecastRefusesNothingWhileNobodyWaits(t *testing.T) {
+// TestForecastIsZeroWhileNoCallWaits checks that the forecast of an idle pool is 0 whatever its past calls took.
+// Otherwise a pool whose calls once exceeded the deadline would be refused for good.
+func TestForecastIsZeroWhileNoCallWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 1, 2)
 		c.publish(pipelineSet())
 		r := request("o", time.Minute)
 		r.Stage = "two"
-		require.NoError(t, <-waitFor(c, r))
+		require.NoError(t, <-callAsync(c, r))
 		require.Zero(t, c.entries[0].Forecast(c.set, "p", "o"))
 		c.close()
 	})
 }
 
-// waitFor runs a call of callTime and returns a channel for what comes of it.
-func waitFor(c *cluster, r dispatch.SlotRequest) <-chan error {
+// callAsync runs a call of callDuration in the background and returns a channel for its result.
+func callAsync(c *cluster, r dispatch.SlotRequest) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
-		_, err := c.call(c.entries[0], r, callTime)
+		_, err := c.call(c.entries[0], r, callDuration)
 		ended <- err
 	}()
 	synctest.Wait()
--- a/pkg/slots/forecast.go
+++ b/pkg/slots/forecast.go
@@ -6,18 +6,19 @@
 	"github.com/daisyhatch/daisyhatch/pkg/config"
 )
 
-// coming counts the calls of requests that are in earlier stages and will need a pool soon.
-type coming struct {
-	all int
-	// own is those of the organisation that asks.
+// upcoming counts the calls of requests that are in earlier stages and will need a pool soon.
+type upcoming struct {
+	total int
+	// own counts those of the organisation that the forecast is for.
 	own int
 }
 
-// Forecast estimates how long a request of the organisation to a pipeline or service would take now: for each step the
-// longest of its stages' waits and usual times, for the last one the time within which most of its calls end. Requests
-// that are in earlier stages count as waiting before a pool where calls wait. Stages of which nothing is known count
-// nothing. It is 0 while there is nothing to wait for: whether the stages' own times fit is for the executor to judge, which
-// tries one now and then, so that a pool that was slow for a while is not refused for good.
+// Forecast estimates how long a request of the organisation to a pipeline or service would take if it arrived now. Each
+// step counts with the largest sum of wait and mean hold time among its stages; the last step with the upper estimate
+// of the hold time instead of the mean. Requests in earlier stages count as queued ahead of a pool that has a queue.
+// Stages without data count as zero. The result is 0 while no call would have to wait: then the executor judges whether
+// the calls themselves fit the deadline. It lets a request through now and then, so that a pool that was slow for a
+// while is not refused for good.
 func (s *Slots) Forecast(set *config.Set, name, organisation string) time.Duration {
 	if set == nil {
 		return 0
@@ -26,31 +27,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v := set.Services[name]; v != nil {
-		wait, takes := s.stage(set, v.Stage, organisation, coming{}, now)
+		wait, stats := s.stageEstimate(set, v.Stage, organisation, upcoming{}, now)
 		if wait == 0 {
 			return 0
 		}
-		return wait + takes.likely()
+		return wait + stats.upperEstimate()
 	}
 	p := set.Pipelines[name]
 	if p == nil {
 		return 0
 	}
 	total, waits := time.Duration(0), time.Duration(0)
-	ahead := coming{}
+	ahead := upcoming{}
 	for i, step := range p.Steps {
 		longest := time.Duration(0)
 		for _, stage := range step {
-			wait, takes := s.stage(set, stage, organisation, ahead, now)
+			wait, stats := s.stageEstimate(set, stage, organisation, ahead, now)
 			waits += wait
 			if i == len(p.Steps)-1 {
-				longest = max(longest, wait+takes.likely())
+				longest = max(longest, wait+stats.upperEstimate())
 			} else {
-				longest = max(longest, wait+takes.mean)
+				longest = max(longest, wait+stats.mean)
 			}
 		}
 		total += longest
-		ahead = s.behind(set, step, organisation, ahead)
+		ahead = s.addUpcoming(set, step, organisation, ahead)
 	}
 	if waits == 0 {
 		return 0
@@ -58,36 +59,37 @@
 	return total
 }
 
-// stage returns the predicted wait for a stage's pool and the usual time of its calls.
-func (s *Slots) stage(set *config.Set, name, organisation string, ahead coming, now time.Time) (wait time.Duration, takes usual) {
+// stageEstimate returns the predicted wait for a stage's pool and how long the stage's calls hold their slots.
+func (s *Slots) stageEstimate(set *config.Set, name, organisation string, ahead upcoming, now time.Time) (wait time.Duration, stats holdStats) {
 	stage := set.Stages[name]
 	if stage == nil {
-		return 0, usual{}
+		return 0, holdStats{}
 	}
 	p := s.pools[stage.Pool]
 	if p == nil {
-		return 0, usual{}
+		return 0, holdStats{}
 	}
-	takes = p.usualOf(name)
+	stats = p.statsFor(name)
 	if p.queue.Len() == 0 {
-		return 0, takes
+		return 0, stats
 	}
-	wait, _ = p.predict(s.holder, organisation, s.weight(organisation), ahead, now)
-	return wait, takes
+	wait, _ = p.predictWait(s.holder, organisation, s.weight(organisation), ahead, now)
+	return wait, stats
 }
 
-// behind adds the calls of a step's stages to those that will need the pools of the next one.
-func (s *Slots) behind(set *config.Set, step []string, organisation string, ahead coming) coming {
-	most := coming{}
+// addUpcoming adds the calls of a step's stages to those that will need the pools of the next step. Of parallel stages
+// only the one with the most calls counts.
+func (s *Slots) addUpcoming(set *config.Set, step []string, organisation string, ahead upcoming) upcoming {
+	largest := upcoming{}
 	for _, name := range step {
 		stage := set.Stages[name]
 		if stage == nil || s.pools[stage.Pool] == nil {
 			continue
 		}
 		if l := s.pools[stage.Pool].stages[name]; l != nil {
-			most.all = max(most.all, l.calls)
-			most.own = max(most.own, l.byOrganisation[organisation])
+			largest.total = max(largest.total, l.calls)
+			largest.own = max(largest.own, l.byOrganisation[organisation])
 		}
 	}
-	return coming{all: ahead.all + most.all, own: ahead.own + most.own}
+	return upcoming{total: ahead.total + largest.total, own: ahead.own + largest.own}
 }
--- a/pkg/slots/handover_test.go
+++ b/pkg/slots/handover_test.go
@@ -20,19 +20,20 @@
 	"github.com/daisyhatch/daisyhatch/pkg/grant"
 )
 
-var handoverSeeds = flag.Uint64("handover.seeds", 2, "count of seeds of the hand-over test")
+var handoverSeeds = flag.Uint64("handover.seeds", 2, "number of seeds of the hand-over test")
 
 const (
-	movingPools = 12
-	// movingWait is the longest wait for a slot while a shard changes hands in order.
-	movingWait = grant.RenewContended
+	handoverPools = 12
+	// maxHandoverWait bounds the wait for a slot during an orderly hand-over of a shard.
+	maxHandoverWait = grant.RenewContended
 )
 
-// movingCluster has pools of one server each, so that a gap in any shard shows. Its control VMs start one by one.
-func movingCluster(t *testing.T, rng *rand.Rand, controls int) *cluster {
+// newHandoverCluster returns a cluster with one server per pool, so that a shard that is not served delays calls. The
+// control VMs start one by one.
+func newHandoverCluster(t *testing.T, rng *rand.Rand, controls int) *cluster {
 	c := newCluster(t, 0, 2, 0)
 	set := testSet("")
-	for i := range movingPools {
+	for i := range handoverPools {
 		name := fmt.Sprint("p", i)
 		set.Pools[name] = &config.Pool{Name: name, Concurrency: 4, ColdConcurrency: 2, WarmAfter: 3, ReportsLoad: true}
 		c.servers = append(c.servers, &daisyhatchv1.Announcement{
@@ -52,12 +53,13 @@
 	return c
 }
 
-// sparseCalls calls each pool from each entry VM with pauses, and returns the longest wait for a slot.
+// sparseCalls calls each pool from each entry VM with random pauses, and returns the longest wait for a slot. A refused
+// call counts with the time until its refusal.
 func (c *cluster) sparseCalls(seed uint64, length time.Duration) (longest time.Duration) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	until := time.Now().Add(length)
-	for i := range movingPools {
+	for i := range handoverPools {
 		for j, e := range c.entries {
 			rng := rand.New(rand.NewPCG(seed, uint64(i*len(c.entries)+j)))
 			wg.Go(func() {
@@ -78,15 +80,16 @@
 	return longest
 }
 
-// TestShardsMoveWithoutAGap lets control VMs start, leave and come back; every pool stays served.
-func TestShardsMoveWithoutAGap(t *testing.T) {
+// TestShardHandOverLeavesNoServiceGap starts control VMs, stops one and restarts it. No call may wait longer than
+// maxHandoverWait while shards change hands.
+func TestShardHandOverLeavesNoServiceGap(t *testing.T) {
 	for seed := range *handoverSeeds {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				c := movingCluster(t, rng, 3+rng.IntN(3))
+				c := newHandoverCluster(t, rng, 3+rng.IntN(3))
 				c.sparseCalls(seed, 8*time.Second)
-				started := c.sparseCalls(seed+1000, 12*time.Second)
+				waitAtStart := c.sparseCalls(seed+1000, 12*time.Second)
 				go func() {
 					time.Sleep(time.Second)
 					_ = c.control["c1"].Stop(context.Background())
@@ -94,12 +97,12 @@
 					time.Sleep(time.Duration(1+rng.IntN(5)) * time.Second)
 					c.startControl("c1", "2")
 				}()
-				left := c.sparseCalls(seed+2000, 24*time.Second)
-				t.Logf("longest wait %v after the start, %v while a VM left and came back", started, left)
+				waitAtRestart := c.sparseCalls(seed+2000, 24*time.Second)
+				t.Logf("longest wait: %v after the start, %v while a VM stopped and restarted", waitAtStart, waitAtRestart)
 				c.close()
-				require.LessOrEqual(t, started, movingWait)
-				require.LessOrEqual(t, left, movingWait)
-				for s, n := range c.starts().most {
+				require.LessOrEqual(t, waitAtStart, maxHandoverWait)
+				require.LessOrEqual(t, waitAtRestart, maxHandoverWait)
+				for s, n := range c.starts().maxRunning {
 					require.LessOrEqual(t, n, 4, s)
 				}
 			})
@@ -107,8 +110,9 @@
 	}
 }
 
-// TestLimitsGoWithTheShard empties an organisation's bucket and stops the VM that keeps it: the next keeper knows.
-func TestLimitsGoWithTheShard(t *testing.T) {
+// TestLimitsAreHandedOverWithTheShard uses up most of an organisation's limits and stops the control VM that enforces
+// them. The next one must continue with what is left.
+func TestLimitsAreHandedOverWithTheShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1, 1)
 		set := testSet("")
@@ -116,13 +120,13 @@
 		c.publish(set)
 		time.Sleep(15 * time.Second)
 		sequence := uint64(0)
-		keeper := func() string { return c.machine.Lease(grant.LeaseName(grant.ShardOf("o"))).GetHolder() }
+		holder := func() string { return c.machine.Lease(grant.LeaseName(grant.ShardOf("o"))).GetHolder() }
 		draw := func(tokens, want uint32) *daisyhatchv1.Quota {
 			sequence++
 			r := &daisyhatchv1.DrawRequest{Vm: fmt.Sprint("x", want), Incarnation: "1", Sequence: sequence, Demands: []*daisyhatchv1.QuotaDemand{
 				{Organisation: "o", Tokens: tokens, Want: want},
 			}}
-			client := daisyhatchv1connect.NewGrantServiceClient(c.network, "http://"+keeper()+":1")
+			client := daisyhatchv1connect.NewGrantServiceClient(c.network, "http://"+holder()+":1")
 			out, err := client.Draw(t.Context(), connect.NewRequest(r))
 			require.NoError(t, err)
 			require.Len(t, out.Msg.Quotas, 1)
@@ -131,14 +135,14 @@
 		q := draw(90, 8)
 		require.EqualValues(t, 90, q.Tokens)
 		require.EqualValues(t, 8, q.Units)
-		former := keeper()
+		former := holder()
 		require.NoError(t, c.control[former].Stop(t.Context()))
 		delete(c.control, former)
-		time.Sleep(movingWait)
-		require.NotEqual(t, former, keeper())
+		time.Sleep(maxHandoverWait)
+		require.NotEqual(t, former, holder())
 		q = draw(100, 5)
-		require.InDelta(t, 10, q.Tokens, 1, "what the former keeper had left")
-		require.EqualValues(t, 2, q.Units, "eight of ten are lent")
+		require.InDelta(t, 10, q.Tokens, 1, "the new control VM continues with the tokens that were left")
+		require.EqualValues(t, 2, q.Units, "8 of 10 units are lent to the first VM")
 		require.False(t, q.Learning)
 		c.close()
 	})
--- a/pkg/slots/notice_test.go
+++ b/pkg/slots/notice_test.go
@@ -11,8 +11,8 @@
 	"github.com/daisyhatch/daisyhatch/pkg/holdoff"
 )
 
-// A server that says in an answer that it leaves, or that it wants no calls for a time, gets none from this VM, also under a slot
-// that was handed out before; the other servers get them.
+// A server that announces in a response that it is leaving, or that it wants no calls for a time, must get no calls
+// from this VM, not even under a slot that was handed out before. The other servers take them.
 func TestServerThatWantsNoCallsGetsNone(t *testing.T) {
 	for name, n := range map[string]holdoff.Notice{"leaves": {Leaving: true}, "turns away": {Wait: 3 * time.Second}} {
 		t.Run(name, func(t *testing.T) {
@@ -23,7 +23,7 @@
 				require.NoError(t, err)
 				closed := first.Target()
 				s.Noticed(closed, n)
-				require.False(t, first.Valid(), "it must not be sent any more")
+				require.False(t, first.Valid(), "the call must not be sent after the notice")
 				first.Done(dispatch.Report{Abandoned: true})
 				used := 0
 				for begin := time.Now(); time.Since(begin) < 6*time.Second; {
@@ -36,7 +36,7 @@
 					time.Sleep(10 * time.Millisecond)
 					sl.Done(dispatch.Report{FirstToken: 10 * time.Millisecond})
 				}
-				require.Equal(t, n.Leaving, used == 0, "%d calls", used)
+				require.Equal(t, n.Leaving, used == 0, "%d calls after the notice", used)
 				c.close()
 			})
 		})
--- a/pkg/slots/overload_test.go
+++ b/pkg/slots/overload_test.go
@@ -19,36 +19,37 @@
 	"github.com/daisyhatch/daisyhatch/pkg/slots"
 )
 
-// offered is what became of a stretch of offered load.
-type offered struct {
-	good    int
+// loadResult counts the requests of one offerLoad run by their result.
+type loadResult struct {
+	inTime  int
 	late    int
 	refused int
-	// slowest is the longest time to a refusal.
-	slowest time.Duration
+	// slowestRefusal is the longest time until a request was refused.
+	slowestRefusal time.Duration
 }
 
-// offer sends requests at an even rate to the first entry VM: each of two calls, one after the other, through the gate.
-func (c *cluster) offer(g *admission.Gate, organisation string, rate float64, d, deadline time.Duration) *offered {
+// offerLoad sends requests through the gate to the first entry VM at a constant rate. Each request makes two calls, one
+// after the other.
+func (c *cluster) offerLoad(g *admission.Gate, organisation string, rate float64, d, deadline time.Duration) *loadResult {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	out := &offered{}
+	out := &loadResult{}
 	gap := time.Duration(float64(time.Second) / rate)
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(gap) {
 		wg.Go(func() {
 			begin := time.Now()
-			err := c.twoCalls(g, organisation, begin.Add(deadline))
+			err := c.runTwoCalls(g, organisation, begin.Add(deadline))
 			took := time.Since(begin)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case err != nil:
 				out.refused++
-				out.slowest = max(out.slowest, took)
+				out.slowestRefusal = max(out.slowestRefusal, took)
 			case took > deadline:
 				out.late++
 			default:
-				out.good++
+				out.inTime++
 			}
 		})
 	}
@@ -56,7 +57,7 @@
 	return out
 }
 
-func (c *cluster) twoCalls(g *admission.Gate, organisation string, deadline time.Time) error {
+func (c *cluster) runTwoCalls(g *admission.Gate, organisation string, deadline time.Time) error {
 	leave, err := g.Enter(context.Background(), admission.Request{Organisation: organisation, Pipeline: "p", Deadline: deadline})
 	if err != nil {
 		return err
@@ -72,6 +73,7 @@
 	return nil
 }
 
+// pipelineSet returns a configuration with a pipeline of two stages, both of which use the same pool.
 func pipelineSet() *config.Set {
 	set := testSet("")
 	set.Stages = map[string]*config.Stage{"one": {Name: "one", Pool: "gen"}, "two": {Name: "two", Pool: "gen"}}
@@ -93,35 +95,37 @@
 	return g
 }
 
-// TestGoodputStaysFlatPastSaturation offers two and three times what six servers can do: 6 x 4 calls of 50 ms.
+// TestGoodputStaysFlatPastSaturation offers two and three times the capacity of six servers, each of which runs four
+// calls of 50 ms at a time. The rate of requests that end in time must stay within 5% of that at saturation.
 func TestGoodputStaysFlatPastSaturation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 1, 6)
 		c.publish(pipelineSet())
 		g := c.gate(c.entries[0], "e0", nil)
-		c.offer(g, "o", 100, 10*time.Second, time.Second)
-		full := c.offer(g, "o", 240, 10*time.Second, time.Second)
+		c.offerLoad(g, "o", 100, 10*time.Second, time.Second)
+		full := c.offerLoad(g, "o", 240, 10*time.Second, time.Second)
 		for _, load := range []float64{480, 720} {
-			over := c.offer(g, "o", load, 10*time.Second, time.Second)
+			over := c.offerLoad(g, "o", load, 10*time.Second, time.Second)
 			t.Logf("at saturation %+v; at %v/s %+v", *full, load, *over)
-			require.GreaterOrEqual(t, float64(over.good), 0.95*float64(full.good))
+			require.GreaterOrEqual(t, float64(over.inTime), 0.95*float64(full.inTime))
 		}
 		require.NoError(t, g.Stop(context.Background()))
 		c.close()
 	})
 }
 
-// TestBurstOfOneOrganisationLeavesOthersWhole offers three times the capacity for one organisation, and little for another.
-func TestBurstOfOneOrganisationLeavesOthersWhole(t *testing.T) {
+// TestBurstOfOneOrganisationDoesNotDelayOthers offers three times the capacity for one organisation and a low rate for
+// another, whose requests must all end in time.
+func TestBurstOfOneOrganisationDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 1, 6)
 		c.publish(pipelineSet())
 		g := c.gate(c.entries[0], "e0", nil)
-		c.offer(g, "small", 100, 10*time.Second, time.Second)
-		var large, small *offered
+		c.offerLoad(g, "small", 100, 10*time.Second, time.Second)
+		var large, small *loadResult
 		var wg sync.WaitGroup
-		wg.Go(func() { large = c.offer(g, "large", 720, 10*time.Second, time.Second) })
-		wg.Go(func() { small = c.offer(g, "small", 20, 10*time.Second, time.Second) })
+		wg.Go(func() { large = c.offerLoad(g, "large", 720, 10*time.Second, time.Second) })
+		wg.Go(func() { small = c.offerLoad(g, "small", 20, 10*time.Second, time.Second) })
 		wg.Wait()
 		t.Logf("large %+v, small %+v", *large, *small)
 		require.Zero(t, small.refused+small.late)
@@ -130,8 +134,8 @@
 	})
 }
 
-// TestGateKeepsLimits shares an organisation's limits between two entry VMs through the control VMs.
-func TestGateKeepsLimits(t *testing.T) {
+// TestGateEnforcesLimits shares an organisation's limits between two entry VMs through the control VMs.
+func TestGateEnforcesLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 2, 1)
 		set := testSet("")
--- a/pkg/slots/pool.go
+++ b/pkg/slots/pool.go
@@ -14,47 +14,50 @@
 	"github.com/daisyhatch/daisyhatch/pkg/routing"
 )
 
-// Demand and prediction.
+// Parameters of demand and wait prediction.
 const (
-	// peakDecay is the share of the peak demand kept after each period of grant.Renew.
+	// peakDecay is the factor applied to the peak demand after each period of grant.Renew.
 	peakDecay = 0.8
-	// headroom is the share of the peak demand that is asked for on top.
+	// headroom is the share of the peak demand that is requested in addition to it.
 	headroom = 0.25
-	// idleRelease is how long a pool that had one call at a time must be idle before its unit is given back.
+	// idleRelease is how long a pool with a peak demand of one call must be idle before its unit is returned.
 	idleRelease = 100 * time.Millisecond
-	// maxTries bounds the organisations whose next call is tried when the first in turn finds no server.
-	maxTries = 16
-	// supplyLife is how long a grantor's word on its supply counts.
-	supplyLife = 5 * time.Second
+	// maxOrganisationsTried bounds the number of organisations whose next call is tried when no server can run the
+	// first call in the queue.
+	maxOrganisationsTried = 16
+	// supplyTTL is how long a grantor's last reported supply is used.
+	supplyTTL = 5 * time.Second
 )
 
-// pool is the waiting calls of one pool, where they can go and what they want.
+// pool holds the queued calls of one server pool, its routing state and its demand.
 type pool struct {
-	name     string
-	queue    *admission.Queue[*waiter]
-	alone    *admission.Queue[*waiter]
-	picker   *routing.Picker
-	inFlight int
-	// aloneInFlight counts calls that run alone.
+	name  string
+	queue *admission.Queue[*waiter]
+	// aloneQueue holds the calls that need a server to themselves.
+	aloneQueue *admission.Queue[*waiter]
+	picker     *routing.Picker
+	inFlight   int
+	// aloneInFlight counts the calls in flight that need a server to themselves.
 	aloneInFlight int
-	// idleSince is when the last call ended; it says nothing while calls run or wait.
+	// idleSince is when the last call ended. It is meaningful only while no call is in flight or queued.
 	idleSince time.Time
-	// releasing is true while a timer is to give an idle unit back.
+	// releasing is true while a timer for releaseIdleUnit is running.
 	releasing bool
-	// peak is the decaying maximum of calls in flight and waiting.
-	peak float64
-	// hold is the time that a slot is held, over all stages.
-	hold usual
-	// stages holds what is known of each stage, by name.
+	// peakDemand is the decaying maximum of the calls in flight and queued.
+	peakDemand float64
+	// holdTime covers the calls of all stages.
+	holdTime holdStats
+	// stages is keyed by stage name.
 	stages map[string]*stageLoad
-	// supplies is what each grantor last said of the pool.
+	// supplies holds what each grantor last reported of the pool, keyed by the grantor's address.
 	supplies map[string]supply
-	// held and candidates are reused from one decision to the next.
+	// held and candidates are buffers reused by each routing decision; entry i of both is the same server.
 	held       []*grant.Held
 	candidates []routing.Candidate
 }
 
-// supply is what one grantor has of the pool.
+// supply is what one grantor last reported of the pool: the units of its servers in total (budget) and the units that
+// all holders want of it (demand).
 type supply struct {
 	budget int
 	demand int
@@ -63,15 +66,16 @@
 
 func newPool(name string) *pool {
 	return &pool{
-		name:     name,
-		queue:    admission.NewQueue[*waiter](),
-		alone:    admission.NewQueue[*waiter](),
-		picker:   routing.NewPicker(),
-		stages:   make(map[string]*stageLoad),
-		supplies: make(map[string]supply),
+		name:       name,
+		queue:      admission.NewQueue[*waiter](),
+		aloneQueue: admission.NewQueue[*waiter](),
+		picker:     routing.NewPicker(),
+		stages:     make(map[string]*stageLoad),
+		supplies:   make(map[string]supply),
 	}
 }
 
+// stage returns the load of a stage and creates it if needed.
 func (p *pool) stage(name string) *stageLoad {
 	l := p.stages[name]
 	if l == nil {
@@ -81,30 +85,31 @@
 	return l
 }
 
-// usualOf returns the usual time of a stage's calls; that of the whole pool while the stage has had none.
-func (p *pool) usualOf(stage string) usual {
+// statsFor returns how long a stage's calls hold their slots; the figures of the whole pool while the stage has none.
+func (p *pool) statsFor(stage string) holdStats {
 	if l := p.stages[stage]; l != nil && l.mean > 0 {
-		return l.usual
+		return l.holdStats
 	}
-	return p.hold
+	return p.holdTime
 }
 
-// late reports whether a call that starts now ends after its deadline in all likelihood.
-func (p *pool) late(r *dispatch.SlotRequest, now time.Time) bool {
-	takes := p.usualOf(r.Stage)
-	return now.Add(takes.likely()).After(r.Deadline)
+// likelyLate reports whether a call that starts now will probably end after its deadline.
+func (p *pool) likelyLate(r *dispatch.SlotRequest, now time.Time) bool {
+	stats := p.statsFor(r.Stage)
+	return now.Add(stats.upperEstimate()).After(r.Deadline)
 }
 
 func (p *pool) queueFor(r *dispatch.SlotRequest) *admission.Queue[*waiter] {
 	if r.Alone {
-		return p.alone
+		return p.aloneQueue
 	}
 	return p.queue
 }
 
-// draw collects the servers to choose from: two random ones on which the call may start now, and those whose caches
-// probably hold its prefix. Servers that the call avoids come in only when no other one is held.
-func (p *pool) draw(h *grant.Holder, r *dispatch.SlotRequest, now time.Time, rng *rand.Rand) {
+// collectCandidates fills p.held and p.candidates with the servers to choose from: two drawn at random among those on
+// which the call may start now, and those that probably have its prefix cached. Servers that the call avoids are
+// included only when no other suitable server is held.
+func (p *pool) collectCandidates(h *grant.Holder, r *dispatch.SlotRequest, now time.Time, rng *rand.Rand) {
 	p.held, p.candidates = p.held[:0], p.candidates[:0]
 	n := h.Len(p.name)
 	if n == 0 {
@@ -120,27 +125,28 @@
 				avoided = true
 				return true
 			}
-			p.add(g)
+			p.addCandidate(g)
 			return false
 		})
 	}
-	if len(p.held) == 0 && avoided && !p.others(h, r, now) {
+	if len(p.held) == 0 && avoided && !p.holdsOther(h, r, now) {
 		h.From(p.name, rng.IntN(n), r.Alone, now, func(g *grant.Held) bool {
 			if serves(g.Server, r) {
-				p.add(g)
+				p.addCandidate(g)
 			}
 			return len(p.held) == 0
 		})
 	}
 	for _, name := range p.picker.Holders(r.Prefix) {
 		if g := h.Find(name, r.Alone, now); g != nil && g.Server.Pool == p.name && serves(g.Server, r) && !slices.Contains(r.Avoid, name) {
-			p.add(g)
+			p.addCandidate(g)
 		}
 	}
 }
 
-// others reports whether a server that the call doesn't avoid is held, with or without room.
-func (p *pool) others(h *grant.Holder, r *dispatch.SlotRequest, now time.Time) bool {
+// holdsOther reports whether this VM holds a server that suits the call and is not one to avoid, whether or not the
+// server has a free unit.
+func (p *pool) holdsOther(h *grant.Holder, r *dispatch.SlotRequest, now time.Time) bool {
 	found := false
 	h.Each(p.name, now, func(g *grant.Held) {
 		found = found || serves(g.Server, r) && !slices.Contains(r.Avoid, g.Server.Server)
@@ -148,7 +154,7 @@
 	return found
 }
 
-func (p *pool) add(g *grant.Held) {
+func (p *pool) addCandidate(g *grant.Held) {
 	p.held = append(p.held, g)
 	p.candidates = append(p.candidates, routing.Candidate{
 		Server: g.Server.Server, FailureDomain: g.Server.FailureDomain,
@@ -156,7 +162,7 @@
 	})
 }
 
-// serves reports whether a server can run the call.
+// serves reports whether a server offers the call's model, adapter and role.
 func serves(a *daisyhatchv1.Announcement, r *dispatch.SlotRequest) bool {
 	if r.Model != "" && len(a.Models) > 0 && !slices.Contains(a.Models, r.Model) {
 		return false
@@ -180,40 +186,40 @@
 	}
 }
 
-// wanted returns how many units this VM wants of all grantors together.
-func (p *pool) wanted() int {
+// wantedUnits updates the peak demand and returns how many units this VM wants of all grantors together.
+func (p *pool) wantedUnits() int {
 	now := p.inFlight + p.queue.Len() - p.aloneInFlight
-	p.peak = max(p.peak, float64(now))
-	if p.peak < 0.5 {
+	p.peakDemand = max(p.peakDemand, float64(now))
+	if p.peakDemand < 0.5 {
 		return 0
 	}
-	if p.peak <= 1 {
+	if p.peakDemand <= 1 {
 		return 1
 	}
-	return int(math.Ceil(p.peak * (1 + headroom)))
+	return int(math.Ceil(p.peakDemand * (1 + headroom)))
 }
 
-// busy reports whether calls run or wait.
+// busy reports whether calls are in flight or queued.
 func (p *pool) busy() bool {
-	return p.inFlight+p.queue.Len()+p.alone.Len() > 0
+	return p.inFlight+p.queue.Len()+p.aloneQueue.Len() > 0
 }
 
-// settle drops the demand of a pool that had one call at a time and is idle. Another VM may need the unit.
-func (p *pool) settle(now time.Time) {
-	if !p.busy() && p.peak <= 1 && now.Sub(p.idleSince) >= idleRelease {
-		p.peak = 0
+// dropIdleDemand resets the demand of an idle pool that had one call at a time, since another VM may need the unit.
+func (p *pool) dropIdleDemand(now time.Time) {
+	if !p.busy() && p.peakDemand <= 1 && now.Sub(p.idleSince) >= idleRelease {
+		p.peakDemand = 0
 	}
 }
 
-// demands returns what is wanted of each grantor. A grantor that has told its supply is asked for its part of the
-// whole; one that hasn't, for the whole. What is missing is asked of each grantor that has some left, and of all while
-// calls wait.
+// demands returns the demand to send to each grantor, in the order of grantors. A grantor with a known supply is asked
+// for its share of the wanted units, one with an unknown supply for all of them. Units that are missing are requested
+// in addition from each grantor with spare supply, and from every grantor while calls are queued.
 func (p *pool) demands(h *grant.Holder, grantors []string, now time.Time) []grant.Demand {
-	want, alone := p.wanted(), p.alone.Len()+p.aloneInFlight
+	want, alone := p.wantedUnits(), p.aloneQueue.Len()+p.aloneInFlight
 	if want == 0 && alone == 0 {
 		return nil
 	}
-	parts := p.parts(grantors, want, now)
+	parts := p.shares(grantors, want, now)
 	missing := want
 	h.Each(p.name, now, func(g *grant.Held) { missing -= g.Units })
 	out := make([]grant.Demand, len(grantors))
@@ -227,9 +233,9 @@
 	return out
 }
 
-// parts divides what is wanted between the grantors by their supply. What can't be divided goes to those with the most
-// left.
-func (p *pool) parts(grantors []string, want int, now time.Time) []int {
+// shares divides the wanted units between the grantors in proportion to their supply. The remainder of the division
+// goes to the grantors with the most spare supply. The share of a grantor with an unknown supply is all of want.
+func (p *pool) shares(grantors []string, want int, now time.Time) []int {
 	parts := make([]int, len(grantors))
 	known := make([]int, 0, len(grantors))
 	total := 0
@@ -245,30 +251,31 @@
 	if total == 0 {
 		return parts
 	}
-	rest := want
+	remainder := want
 	for _, i := range known {
 		parts[i] = want * p.supplies[grantors[i]].budget / total
-		rest -= parts[i]
+		remainder -= parts[i]
 	}
-	left := func(i int) int {
+	spare := func(i int) int {
 		s := p.supplies[grantors[i]]
 		return s.budget - s.demand
 	}
-	slices.SortStableFunc(known, func(a, b int) int { return left(b) - left(a) })
-	for _, i := range known[:min(rest, len(known))] {
+	slices.SortStableFunc(known, func(a, b int) int { return spare(b) - spare(a) })
+	for _, i := range known[:min(remainder, len(known))] {
 		parts[i]++
 	}
 	return parts
 }
 
+// supply returns what a grantor last reported; the second result is false when that is unknown or older than supplyTTL.
 func (p *pool) supply(grantor string, now time.Time) (supply, bool) {
 	s, ok := p.supplies[grantor]
-	return s, ok && now.Sub(s.at) < supplyLife
+	return s, ok && now.Sub(s.at) < supplyTTL
 }
 
-// told takes over what a grantor says of its supply. One that names no supply of a pool that it was asked for has
-// none.
-func (p *pool) told(grantor string, r *daisyhatchv1.AcquireResponse, now time.Time) {
+// recordSupply stores the supply that a grantor reports. A grantor whose response to a demand for the pool names no
+// supply has none.
+func (p *pool) recordSupply(grantor string, r *daisyhatchv1.AcquireResponse, now time.Time) {
 	s := supply{at: now}
 	for _, m := range r.Supplies {
 		if m.Pool == p.name {
@@ -278,16 +285,17 @@
 	p.supplies[grantor] = s
 }
 
-// room estimates how many units this VM can count on: what it holds, or else its part of what there is. Where a grantor
-// has enough for all, that is what it wants: units that it lacks just then are on their way.
-func (p *pool) room(h *grant.Holder, now time.Time) int {
+// expectedUnits estimates how many units this VM can count on: the units that it holds or, if more, its share of the
+// supply. A grantor with enough for all holders counts with all that this VM wants of it, since units that are missing
+// at the moment will be granted soon. It returns 0 when nothing is known.
+func (p *pool) expectedUnits(h *grant.Holder, now time.Time) int {
 	units := 0
 	h.Each(p.name, now, func(g *grant.Held) {
 		if !g.Exclusive {
 			units += g.Units
 		}
 	})
-	free, mine, known := 0, p.wanted(), false
+	expected, wanted, known := 0, p.wantedUnits(), false
 	for g := range p.supplies {
 		s, ok := p.supply(g, now)
 		if !ok || s.budget == 0 {
@@ -295,21 +303,21 @@
 		}
 		known = true
 		if s.demand <= s.budget {
-			free += min(mine, s.budget)
+			expected += min(wanted, s.budget)
 			continue
 		}
-		free += s.budget * mine / max(s.demand, mine)
+		expected += s.budget * wanted / max(s.demand, wanted)
 	}
 	if !known && units == 0 {
 		return 0
 	}
-	return max(units, min(free, mine), 1)
+	return max(units, min(expected, wanted), 1)
 }
 
-// predict estimates how long a further call of the organisation would wait behind those that wait and those that are
-// coming: its place in the fair queue times the time between two slots. ok is false while too little is known.
-func (p *pool) predict(h *grant.Holder, organisation string, weight int, c coming, now time.Time) (wait time.Duration, ok bool) {
-	ahead := p.queue.Len() + c.all + 1
+// predictWait estimates how long another call of the organisation would wait behind the queued and the upcoming calls:
+// its position in the fair queue times the mean time between two slots. ok is false while there is too little data.
+func (p *pool) predictWait(h *grant.Holder, organisation string, weight int, c upcoming, now time.Time) (wait time.Duration, ok bool) {
+	ahead := p.queue.Len() + c.total + 1
 	if p.queue.Len() == 0 {
 		return 0, true
 	}
@@ -318,10 +326,10 @@
 	if p.queue.WeightOf(organisation) == 0 {
 		weights += own
 	}
-	turn := float64(p.queue.LenOf(organisation)+c.own+1) * weights / own
-	room := p.room(h, now)
-	if room == 0 || p.hold.mean == 0 {
+	fairPosition := float64(p.queue.LenOf(organisation)+c.own+1) * weights / own
+	room := p.expectedUnits(h, now)
+	if room == 0 || p.holdTime.mean == 0 {
 		return 0, false
 	}
-	return time.Duration(min(float64(ahead), turn) * float64(p.hold.mean) / float64(room)), true
+	return time.Duration(min(float64(ahead), fairPosition) * float64(p.holdTime.mean) / float64(room)), true
 }
--- a/pkg/slots/ask.go
+++ b/pkg/slots/requests.go
@@ -18,27 +18,28 @@
 const (
 	// askTimeout bounds one request to a grantor.
 	askTimeout = time.Second
-	// askWaiting is the interval while calls wait.
-	askWaiting = 100 * time.Millisecond
-	// kickGap is the least time between two requests outside the regular interval.
-	kickGap = 20 * time.Millisecond
-	// manyGrantors is the count of grantors above which all intervals grow in proportion, which bounds the requests of
-	// one VM.
-	manyGrantors = 11
-	// longestInterval leaves a grant a third of its lifetime for the answer to a request for its renewal, and is shorter
-	// than the silence after which a connection is pinged.
-	longestInterval = 950 * time.Millisecond
+	// askIntervalWaiting is the interval between requests while calls are queued.
+	askIntervalWaiting = 100 * time.Millisecond
+	// minAskGap is the shortest time between two rounds of requests, also when a queued call triggers one early.
+	minAskGap = 20 * time.Millisecond
+	// maxUnscaledGrantors is the number of grantors up to which intervals are not lengthened. Beyond it they grow in
+	// proportion to the number of grantors, which bounds the request rate of one VM.
+	maxUnscaledGrantors = 11
+	// maxAskInterval leaves a third of a grant's lifetime for the response to its renewal request. It is also shorter
+	// than the idle time after which a connection is pinged.
+	maxAskInterval = 950 * time.Millisecond
 )
 
-// AskEvery returns the regular interval between two requests to the same one of grantors.
-func AskEvery(grantors int) time.Duration { return paced(grant.Renew, grantors) }
+// AskEvery returns the regular interval between two requests to the same grantor, for the given number of grantors.
+func AskEvery(grantors int) time.Duration { return scaledInterval(grant.Renew, grantors) }
 
-// paced stretches an interval when there are many grantors.
-func paced(d time.Duration, grantors int) time.Duration {
-	return min(d*time.Duration(max(grantors, manyGrantors))/manyGrantors, longestInterval)
+// scaledInterval lengthens an interval when there are more than maxUnscaledGrantors grantors.
+func scaledInterval(d time.Duration, grantors int) time.Duration {
+	return min(d*time.Duration(max(grantors, maxUnscaledGrantors))/maxUnscaledGrantors, maxAskInterval)
 }
 
-// Start begins to ask grantors.
+// Start begins to send requests to the grantors in the background. The context is not used; call Stop to end the
+// requests.
 func (s *Slots) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// Stop releases all grants. Calls that still run keep their slots; new ones are refused. Grants of a grantor that can't
-// be reached are left to run out; that is no error.
+// Stop refuses new calls and releases all grants. Calls in flight keep their slots. Grants whose grantor can't be
+// reached expire on their own, which is no error; Stop always returns nil.
 func (s *Slots) Stop(ctx context.Context) error {
 	s.mu.Lock()
 	s.stopped = true
@@ -59,7 +60,7 @@
 	}
 	for _, address := range s.grantors() {
 		if err := s.releaseAll(ctx, address); err != nil {
-			s.opts.Logger.Info("grants not released; they run out", "grantor", address, "reason", err.Error())
+			s.opts.Logger.Info("grants not released; they will expire", "grantor", address, "reason", err.Error())
 		}
 	}
 	return nil
@@ -69,13 +70,13 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	s.mu.Lock()
-	r := s.holder.Release(address, s.owner(address), time.Now())
+	r := s.holder.Release(address, s.ownsShard(address), time.Now())
 	s.mu.Unlock()
 	_, err := s.client(address).Acquire(ctx, connect.NewRequest(r))
 	return err
 }
 
-// grantors returns the addresses of all grantors known now.
+// grantors returns the distinct addresses of all grantors known now.
 func (s *Slots) grantors() []string {
 	seen := make(map[string]bool)
 	var out []string
@@ -89,7 +90,8 @@
 	return out
 }
 
-func (s *Slots) owner(address string) func(uint32) bool {
+// ownsShard returns a function that reports whether the grantor at address grants a shard.
+func (s *Slots) ownsShard(address string) func(uint32) bool {
 	return func(shard uint32) bool {
 		a, ok := s.opts.Grantors(shard)
 		return ok && a == address
@@ -100,16 +102,15 @@
 	return daisyhatchv1connect.NewGrantServiceClient(s.opts.HTTP, "http://"+address)
 }
 
-// wake asks the grantors before the next regular interval.
+// wake triggers a round of requests to the grantors before the next regular interval.
 func (s *Slots) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// run asks the grantors at regular intervals, more often while calls wait or a grantor wishes so, and when a call comes
-// that has to wait.
+// run sends requests to the grantors at the current interval and whenever wake is called.
 func (s *Slots) run(ctx context.Context) {
 	defer s.done.Done()
 	decayAt := time.Now().Add(grant.Renew)
@@ -118,7 +119,7 @@
 		case <-ctx.Done():
 			return
 		case <-time.After(s.interval()):
-		case <-s.kick:
+		case <-s.wakeup:
 		}
 		if now := time.Now(); !now.Before(decayAt) {
 			periods := 1 + int(now.Sub(decayAt)/grant.Renew)
@@ -129,12 +130,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(kickGap):
+		case <-time.After(minAskGap):
 		}
 	}
 }
 
-// interval returns the time until the next regular request.
+// interval returns the time until the next regular round of requests: shorter while calls are queued or grants are
+// contended.
 func (s *Slots) interval() time.Duration {
 	grantors := len(s.grantors())
 	s.mu.Lock()
@@ -144,20 +146,21 @@
 		d = grant.RenewContended
 	}
 	for _, p := range s.pools {
-		if p.queue.Len()+p.alone.Len() > 0 {
-			d = min(d, askWaiting)
+		if p.queue.Len()+p.aloneQueue.Len() > 0 {
+			d = min(d, askIntervalWaiting)
 		}
 	}
-	return paced(d, grantors)
+	return scaledInterval(d, grantors)
 }
 
-// decay forgets what was not used in so many periods of grant.Renew.
+// decay lowers the peak demand of each pool for the given number of grant.Renew periods and drops the routing state of
+// servers that are not held any more.
 func (s *Slots) decay(periods int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holder.Tick(time.Now())
 	for _, p := range s.pools {
-		p.peak *= math.Pow(peakDecay, float64(periods))
+		p.peakDemand *= math.Pow(peakDecay, float64(periods))
 		p.picker.Retain(func(server string) bool {
 			_, held := s.holder.Get(server)
 			return held
@@ -165,7 +168,7 @@
 	}
 }
 
-// askAll sends a request to each grantor that has no request under way.
+// askAll sends a request to each grantor that has none pending.
 func (s *Slots) askAll(ctx context.Context) {
 	grantors := s.grantors()
 	s.mu.Lock()
@@ -173,22 +176,24 @@
 	now := time.Now()
 	demands := make([][]grant.Demand, len(grantors))
 	for _, p := range s.pools {
-		p.settle(now)
+		p.dropIdleDemand(now)
 		for i, d := range p.demands(s.holder, grantors, now) {
 			demands[i] = append(demands[i], d)
 		}
 	}
 	for i, address := range grantors {
-		if s.asking[address] {
+		if s.pending[address] {
 			continue
 		}
-		s.asking[address] = true
-		r := s.holder.Ask(address, s.owner(address), demands[i], now)
+		s.pending[address] = true
+		r := s.holder.Ask(address, s.ownsShard(address), demands[i], now)
 		s.done.Add(1)
 		go s.ask(ctx, address, demands[i], r)
 	}
 }
 
+// ask sends one request to a grantor and applies its response. A grantor that refuses the session's numbers
+// (FailedPrecondition) is asked again in a new session.
 func (s *Slots) ask(ctx context.Context, address string, demands []grant.Demand, r *daisyhatchv1.AcquireRequest) {
 	defer s.done.Done()
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
@@ -196,20 +201,20 @@
 	out, err := s.client(address).Acquire(ctx, connect.NewRequest(r))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asking[address] = false
+	s.pending[address] = false
 	if connect.CodeOf(err) == connect.CodeFailedPrecondition {
 		s.holder.Forget(address)
 		s.wake()
 		return
 	}
 	if err != nil {
-		s.opts.Logger.V(1).Info("grantor did not answer", "address", address, "error", err.Error())
+		s.opts.Logger.V(1).Info("request to grantor failed", "address", address, "error", err.Error())
 		return
 	}
 	s.apply(address, demands, out.Msg, time.Now())
 }
 
-// apply takes over a grantor's answer and serves the calls that wait.
+// apply processes a grantor's response and gives slots to queued calls.
 func (s *Slots) apply(address string, demands []grant.Demand, out *daisyhatchv1.AcquireResponse, now time.Time) {
 	s.forgetRestarted(out)
 	if !s.holder.Apply(address, out, now) {
@@ -220,7 +225,7 @@
 	}
 	for _, d := range demands {
 		if d.Units > 0 {
-			s.pool(d.Pool).told(address, out, now)
+			s.pool(d.Pool).recordSupply(address, out, now)
 		}
 	}
 	for _, g := range out.Grants {
@@ -230,11 +235,11 @@
 		}
 	}
 	for _, p := range s.pools {
-		s.serve(p, now)
+		s.assignSlots(p, now)
 	}
 }
 
-// forgetRestarted drops what is known of the caches and the load of servers that come with a new incarnation.
+// forgetRestarted drops the cache index and the load of servers that are granted with a new incarnation.
 func (s *Slots) forgetRestarted(out *daisyhatchv1.AcquireResponse) {
 	for _, g := range out.Grants {
 		held, ok := s.holder.Get(g.Server.GetServer())
@@ -249,14 +254,14 @@
 	address, ok := s.opts.Grantors(grant.ShardOf(a.GetServer()))
 	if !ok {
 		return apierr.New(http.StatusServiceUnavailable, apierr.NotReady,
-			"no control VM grants this server's work yet").After(grant.AnnounceEvery)
+			"no control VM grants slots on this server yet").After(grant.AnnounceEvery)
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	_, err := s.client(address).Announce(ctx, connect.NewRequest(&daisyhatchv1.AnnounceRequest{Announcement: a}))
 	if err != nil {
 		return apierr.New(http.StatusServiceUnavailable, apierr.NotReady,
-			"the announcement could not be passed on").After(grant.AnnounceEvery).Wrap(err)
+			"the announcement could not be forwarded to its control VM").After(grant.AnnounceEvery).Wrap(err)
 	}
 	return nil
 }
--- a/pkg/slots/slot.go
+++ b/pkg/slots/slot.go
@@ -13,16 +13,16 @@
 
 // slot implements dispatch.Slot.
 type slot struct {
-	owner  *Slots
+	slots  *Slots
 	pool   *pool
 	target engine.Target
-	// stage and organisation are those of the call.
+	// stage and organisation are those of the call that holds the slot.
 	stage        string
 	organisation string
 	cold         bool
 	alone        bool
 	ended        bool
-	since        time.Time
+	startedAt    time.Time
 }
 
 // Target implements dispatch.Slot.
@@ -33,7 +33,7 @@
 
 // Valid implements dispatch.Slot.
 func (sl *slot) Valid() bool {
-	s := sl.owner
+	s := sl.slots
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holder.Valid(sl.target.Server, sl.target.Incarnation, time.Now())
@@ -41,7 +41,7 @@
 
 // Done implements dispatch.Slot.
 func (sl *slot) Done(r dispatch.Report) {
-	s := sl.owner
+	s := sl.slots
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if sl.ended {
@@ -49,20 +49,21 @@
 	}
 	now := time.Now()
 	if r.Err == nil && !r.Abandoned {
-		held := now.Sub(sl.since)
-		sl.pool.hold.observe(held)
+		held := now.Sub(sl.startedAt)
+		sl.pool.holdTime.observe(held)
 		sl.pool.stage(sl.stage).observe(held)
 	}
-	s.end(sl, outcome(r), latency(r), now)
-	s.serve(sl.pool, now)
-	if !sl.pool.busy() && sl.pool.peak <= 1 && !sl.pool.releasing {
+	s.endSlot(sl, outcome(r), latency(r), now)
+	s.assignSlots(sl.pool, now)
+	if !sl.pool.busy() && sl.pool.peakDemand <= 1 && !sl.pool.releasing {
 		sl.pool.releasing = true
-		time.AfterFunc(idleRelease, func() { s.release(sl.pool) })
+		time.AfterFunc(idleRelease, func() { s.releaseIdleUnit(sl.pool) })
 	}
 }
 
-// release asks the grantors once a pool is idle, so that its unit is given back.
-func (s *Slots) release(p *pool) {
+// releaseIdleUnit triggers a request to the grantors once the pool has been idle for idleRelease, so that its unit is
+// returned.
+func (s *Slots) releaseIdleUnit(p *pool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p.releasing = false
@@ -71,13 +72,14 @@
 	}
 	if left := idleRelease - time.Since(p.idleSince); left > 0 {
 		p.releasing = true
-		time.AfterFunc(left, func() { s.release(p) })
+		time.AfterFunc(left, func() { s.releaseIdleUnit(p) })
 		return
 	}
 	s.wake()
 }
 
-// latency returns what a call says about its server's speed.
+// latency returns the latency sample that a finished call contributes to its server; the zero value when the call
+// contributes none. A call that was abandoned or fell silent gives a lower bound.
 func latency(r dispatch.Report) routing.Latency {
 	var e *engine.Error
 	switch {
@@ -93,7 +95,7 @@
 	return routing.Latency{Time: r.Total}
 }
 
-// outcome classes a call's end for the grantor.
+// outcome converts a call's report for the grant holder.
 func outcome(r dispatch.Report) grant.Outcome {
 	o := grant.Outcome{OK: r.Err == nil, FirstToken: r.FirstToken, Neutral: r.Abandoned}
 	if r.Part {
@@ -107,14 +109,16 @@
 	return o
 }
 
-// giveBack ends a slot that was not used.
-func (s *Slots) giveBack(sl *slot) {
+// returnUnused ends a slot whose call was never sent.
+func (s *Slots) returnUnused(sl *slot) {
 	now := time.Now()
-	s.end(sl, grant.Outcome{Neutral: true}, routing.Latency{}, now)
-	s.serve(sl.pool, now)
+	s.endSlot(sl, grant.Outcome{Neutral: true}, routing.Latency{}, now)
+	s.assignSlots(sl.pool, now)
 }
 
-func (s *Slots) end(sl *slot, o grant.Outcome, l routing.Latency, now time.Time) {
+// endSlot releases the slot's unit and records the outcome and latency of its call. It does nothing for a slot that has
+// ended.
+func (s *Slots) endSlot(sl *slot, o grant.Outcome, l routing.Latency, now time.Time) {
 	if sl.ended {
 		return
 	}
@@ -129,8 +133,8 @@
 	s.holder.Done(sl.target.Server, sl.target.Incarnation, o, now)
 }
 
-// Noticed takes over what a server said of itself in an answer: one that leaves, or wants no calls for a time, gets none
-// from this VM.
+// Noticed records what a server announced about itself in a response. A server that is leaving, or that wants no calls
+// for a time, gets no calls from this VM meanwhile.
 func (s *Slots) Noticed(t engine.Target, n holdoff.Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -1,5 +1,5 @@
-// Package slots hands out permission to run calls on backend servers. It holds the grants of an entry VM, asks the
-// grantors of control VMs for more, lets calls wait in a fair queue, and routes each call to one server.
+// Package slots manages permission to run calls on backend servers. It holds the grants of an entry VM, requests more
+// from the grantors on the control VMs, queues calls fairly while no grant is free, and routes each call to one server.
 package slots
 
 import (
@@ -20,24 +20,24 @@
 	"github.com/daisyhatch/daisyhatch/pkg/routing"
 )
 
-// Bounds of the time told to callers that are refused.
+// Bounds of the Retry-After value sent to refused callers.
 const (
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
 )
 
-// Options are what Slots needs.
+// Options configures Slots.
 type Options struct {
 	VM            string
 	Incarnation   string
 	FailureDomain string
-	// Grantors returns the address, IP:port, of the control VM that grants a shard; false when none is known.
+	// Grantors returns the address (IP:port) of the control VM that grants a shard; ok is false when none is known.
 	Grantors func(shard uint32) (address string, ok bool)
-	// HTTP is the client for calls to control VMs.
+	// HTTP is the client for calls to control VMs; nil means http.DefaultClient.
 	HTTP connect.HTTPClient
-	// Weight returns an organisation's weight under contention; nil means 1 for all.
+	// Weight returns an organisation's weight in the fair queue; nil means 1 for every organisation.
 	Weight func(organisation string) int
-	// Invariants may be nil.
+	// Invariants records violated invariants; it may be nil.
 	Invariants *invariant.Recorder
 	Logger     logr.Logger
 }
@@ -50,47 +50,48 @@
 	holder *grant.Holder
 	pools  map[string]*pool
 	rng    *rand.Rand
-	// asking holds the grantors that have not answered yet.
-	asking  map[string]bool
+	// pending holds the addresses of the grantors that have not answered the latest request yet.
+	pending map[string]bool
 	stopped bool
-	// contendedUntil is until when grantors are asked more often, since holders want more than there is.
+	// contendedUntil is the time until which grantors are asked at the shorter interval, because the holders together
+	// want more units than there are.
 	contendedUntil time.Time
 
-	kick   chan struct{}
+	wakeup chan struct{}
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
 var _ dispatch.Slots = (*Slots)(nil)
 
-// waiter is a call that waits for a slot.
+// waiter is a queued call that waits for a slot.
 type waiter struct {
 	request dispatch.SlotRequest
 	ready   chan struct{}
-	// slot or err is set when ready is closed.
+	// slot or err is set before ready is closed.
 	slot *slot
 	err  *apierr.Error
 }
 
-// New returns Slots that are not started.
+// New returns Slots that request no grants until Start is called.
 func New(o Options) *Slots {
 	id := grant.Identity{VM: o.VM, Incarnation: o.Incarnation, FailureDomain: o.FailureDomain}
 	if o.HTTP == nil {
 		o.HTTP = http.DefaultClient
 	}
 	return &Slots{
-		opts:   o,
-		holder: grant.NewHolder(id, o.Invariants),
-		pools:  make(map[string]*pool),
-		rng:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		asking: make(map[string]bool),
-		kick:   make(chan struct{}, 1),
+		opts:    o,
+		holder:  grant.NewHolder(id, o.Invariants),
+		pools:   make(map[string]*pool),
+		rng:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		pending: make(map[string]bool),
+		wakeup:  make(chan struct{}, 1),
 	}
 }
 
-// Acquire implements dispatch.Slots. A call whose predicted wait ends after its deadline is refused at once, and a spare
-// one that would have to wait. One that has waited so long that it is late in all likelihood is refused when others wait
-// behind it.
+// Acquire implements dispatch.Slots. It refuses a call at once when its predicted wait exceeds its deadline, and a
+// spare call (SlotRequest.Spare) when it would have to wait. A queued call that will probably miss its deadline is
+// refused when other calls wait behind it.
 func (s *Slots) Acquire(ctx context.Context, r dispatch.SlotRequest) (dispatch.Slot, error) {
 	s.mu.Lock()
 	if s.stopped {
@@ -101,27 +102,27 @@
 	q := p.queueFor(&r)
 	now := time.Now()
 	if q.Len() == 0 {
-		if sl := s.take(p, &r, now); sl != nil {
+		if sl := s.startCall(p, &r, now); sl != nil {
 			s.mu.Unlock()
 			return sl, nil
 		}
 	}
 	if r.Spare {
 		s.mu.Unlock()
-		return nil, refusal(r.Pool, "has no room to spare", 0)
+		return nil, refusal(r.Pool, "has no free slot for a spare call", 0)
 	}
 	weight := s.weight(r.Organisation)
-	wait, known := p.predict(s.holder, r.Organisation, weight, coming{}, now)
+	wait, known := p.predictWait(s.holder, r.Organisation, weight, upcoming{}, now)
 	if known && !r.Alone && now.Add(wait).After(r.Deadline) {
 		s.mu.Unlock()
-		return nil, refusal(r.Pool, "is too long", wait)
+		return nil, refusal(r.Pool, "is too long for the deadline", wait)
 	}
 	w := &waiter{request: r, ready: make(chan struct{})}
 	it := q.Push(r.Organisation, weight, r.Priority, w)
 	p.stage(r.Stage).begin(r.Organisation)
 	s.mu.Unlock()
 	s.wake()
-	return s.wait(ctx, p, q, it)
+	return s.awaitSlot(ctx, p, q, it)
 }
 
 func refusal(pool, why string, wait time.Duration) *apierr.Error {
@@ -129,7 +130,8 @@
 		After(min(max(wait/2, minRetryAfter), maxRetryAfter))
 }
 
-func (s *Slots) wait(ctx context.Context, p *pool, q *admission.Queue[*waiter], it *admission.Item[*waiter]) (dispatch.Slot, error) {
+// awaitSlot blocks until the queued call has a slot, is refused, its deadline passes or ctx ends.
+func (s *Slots) awaitSlot(ctx context.Context, p *pool, q *admission.Queue[*waiter], it *admission.Item[*waiter]) (dispatch.Slot, error) {
 	w := it.Value
 	ctx, cancel := context.WithDeadline(ctx, w.request.Deadline)
 	defer cancel()
@@ -147,16 +149,16 @@
 	case w.err != nil:
 		return nil, w.err
 	case w.slot != nil:
-		s.giveBack(w.slot)
+		s.returnUnused(w.slot)
 	default:
-		s.drop(p, q, it)
+		s.removeWaiter(p, q, it)
 	}
-	wait, _ := p.predict(s.holder, w.request.Organisation, s.weight(w.request.Organisation), coming{}, time.Now())
-	return nil, refusal(p.name, "did not move in time", wait).Wrap(ctx.Err())
+	wait, _ := p.predictWait(s.holder, w.request.Organisation, s.weight(w.request.Organisation), upcoming{}, time.Now())
+	return nil, refusal(p.name, "gave no slot before the deadline", wait).Wrap(ctx.Err())
 }
 
-// drop takes a call out of the queue.
-func (s *Slots) drop(p *pool, q *admission.Queue[*waiter], it *admission.Item[*waiter]) {
+// removeWaiter takes a call out of the queue.
+func (s *Slots) removeWaiter(p *pool, q *admission.Queue[*waiter], it *admission.Item[*waiter]) {
 	q.Remove(it)
 	p.stage(it.Value.request.Stage).end(it.Value.request.Organisation)
 }
@@ -177,9 +179,10 @@
 	return p
 }
 
-// take picks a server for a call and starts it there; nil when none has room.
-func (s *Slots) take(p *pool, r *dispatch.SlotRequest, now time.Time) *slot {
-	p.draw(s.holder, r, now, s.rng)
+// startCall picks a server for a call and counts the call as started there. It returns nil when no server has a free
+// unit.
+func (s *Slots) startCall(p *pool, r *dispatch.SlotRequest, now time.Time) *slot {
+	p.collectCandidates(s.holder, r, now, s.rng)
 	call := routing.Call{FailureDomain: s.opts.FailureDomain, Prefix: r.Prefix}
 	i := p.picker.Best(call, p.candidates, now)
 	if i < 0 || !s.holder.Start(p.held[i].Server.Server, now) {
@@ -193,56 +196,59 @@
 		p.aloneInFlight++
 	}
 	return &slot{
-		owner: s, pool: p, target: target(g.Server), stage: r.Stage, organisation: r.Organisation, cold: g.Cold, alone: r.Alone, since: now,
+		slots: s, pool: p, target: target(g.Server), stage: r.Stage, organisation: r.Organisation, cold: g.Cold, alone: r.Alone, startedAt: now,
 	}
 }
 
-// serve hands slots to waiting calls while there are any.
-func (s *Slots) serve(p *pool, now time.Time) {
-	for s.serveOne(p, p.queue, now) {
+// assignSlots gives slots to queued calls until no more of them can start.
+func (s *Slots) assignSlots(p *pool, now time.Time) {
+	for s.assignNext(p, p.queue, now) {
 	}
-	for s.serveOne(p, p.alone, now) {
+	for s.assignNext(p, p.aloneQueue, now) {
 	}
 }
 
-// serveOne serves the first call in turn, or else one of another organisation that some server can run.
-func (s *Slots) serveOne(p *pool, q *admission.Queue[*waiter], now time.Time) bool {
+// assignNext gives a slot to the first call in the queue or, when no server can run that one, to the first call of
+// another organisation that some server can run. It reports whether it changed the queue; the caller repeats it until
+// it returns false.
+func (s *Slots) assignNext(p *pool, q *admission.Queue[*waiter], now time.Time) bool {
 	first := q.Peek()
 	if first == nil {
 		return false
 	}
-	if q == p.queue && q.Len() > 1 && p.late(&first.Value.request, now) {
+	if q == p.queue && q.Len() > 1 && p.likelyLate(&first.Value.request, now) {
 		s.refuseLate(p, q, first, now)
 		return true
 	}
-	if s.give(p, q, first, now) {
+	if s.assign(p, q, first, now) {
 		return true
 	}
-	room := false
-	s.holder.Usable(p.name, first.Value.request.Alone, now, func(*grant.Held) { room = true })
-	if !room {
+	hasRoom := false
+	s.holder.Usable(p.name, first.Value.request.Alone, now, func(*grant.Held) { hasRoom = true })
+	if !hasRoom {
 		return false
 	}
 	served, tries := false, 0
 	q.Each(func(it *admission.Item[*waiter]) bool {
 		tries++
-		served = s.give(p, q, it, now)
-		return !served && tries < maxTries
+		served = s.assign(p, q, it, now)
+		return !served && tries < maxOrganisationsTried
 	})
 	return served
 }
 
-// refuseLate ends the wait of a call that is late in all likelihood, in favour of those behind it.
+// refuseLate refuses a queued call that will probably miss its deadline, in favour of the calls behind it.
 func (s *Slots) refuseLate(p *pool, q *admission.Queue[*waiter], it *admission.Item[*waiter], now time.Time) {
-	s.drop(p, q, it)
+	s.removeWaiter(p, q, it)
 	w := it.Value
-	wait, _ := p.predict(s.holder, w.request.Organisation, s.weight(w.request.Organisation), coming{}, now)
-	w.err = refusal(p.name, "left too little time", wait)
+	wait, _ := p.predictWait(s.holder, w.request.Organisation, s.weight(w.request.Organisation), upcoming{}, now)
+	w.err = refusal(p.name, "left too little time before the deadline", wait)
 	close(w.ready)
 }
 
-func (s *Slots) give(p *pool, q *admission.Queue[*waiter], it *admission.Item[*waiter], now time.Time) bool {
-	sl := s.take(p, &it.Value.request, now)
+// assign starts a queued call and takes it out of the queue. It returns false when no server can run it now.
+func (s *Slots) assign(p *pool, q *admission.Queue[*waiter], it *admission.Item[*waiter], now time.Time) bool {
+	sl := s.startCall(p, &it.Value.request, now)
 	if sl == nil {
 		return false
 	}
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -35,7 +35,7 @@
 		require.NoError(t, err)
 		_, err = c.entries[0].Acquire(t.Context(), request("o", time.Second))
 		var e *apierr.Error
-		require.ErrorAs(t, err, &e, "the cold server has one unit only")
+		require.ErrorAs(t, err, &e, "the only unit of the cold server is in use")
 		require.Equal(t, apierr.NotRun, e.Run)
 		require.Positive(t, e.RetryAfter)
 		go first.Done(dispatch.Report{})
@@ -46,16 +46,16 @@
 	})
 }
 
-func TestHopelessCallIsRefusedAtOnce(t *testing.T) {
+func TestCallThatCannotMeetDeadlineIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 1, 1)
-		stop := c.workers(20, 500*time.Millisecond)
+		stop := c.runWorkers(20, 500*time.Millisecond)
 		time.Sleep(10 * time.Second)
 		begin := time.Now()
 		_, err := c.entries[0].Acquire(t.Context(), request("o", 200*time.Millisecond))
 		var e *apierr.Error
 		require.ErrorAs(t, err, &e)
-		require.Zero(t, time.Since(begin), "sixteen calls wait for four units of half a second each")
+		require.Zero(t, time.Since(begin), "16 calls wait for 4 units; each call takes half a second")
 		require.Equal(t, apierr.NoCapacity, e.Code)
 		require.GreaterOrEqual(t, e.RetryAfter, 500*time.Millisecond)
 		_, refused := stop()
@@ -64,11 +64,12 @@
 	})
 }
 
-// TestOneOrganisationsBurstDoesNotDelayAnother floods the queue with calls of one organisation.
+// TestOneOrganisationsBurstDoesNotDelayAnother queues 400 calls of one organisation at once; the calls of another must
+// still get a slot within 150 ms.
 func TestOneOrganisationsBurstDoesNotDelayAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 1, 2)
-		stop := c.workers(4, 50*time.Millisecond)
+		stop := c.runWorkers(4, 50*time.Millisecond)
 		time.Sleep(5 * time.Second)
 		stop()
 		var wg sync.WaitGroup
@@ -86,40 +87,41 @@
 	})
 }
 
-func TestTakenOutDomainGetsNothingAfterThreeSeconds(t *testing.T) {
+func TestDomainTakenOutGetsNoCallsAfterThreeSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 3, 6)
-		stop := c.workers(4, 20*time.Millisecond)
+		stop := c.runWorkers(4, 20*time.Millisecond)
 		time.Sleep(10 * time.Second)
 		c.publish(testSet("a"))
 		out := time.Now()
 		time.Sleep(10 * time.Second)
 		for _, s := range []string{"s0", "s3"} {
-			require.Less(t, c.starts().last[s].Sub(out), 3*time.Second)
+			require.Less(t, c.starts().lastStart[s].Sub(out), 3*time.Second)
 		}
 		c.publish(testSet(""))
 		back := time.Now()
 		time.Sleep(10 * time.Second)
-		require.True(t, c.starts().last["s0"].After(back), "a domain that is back gets work again")
+		require.True(t, c.starts().lastStart["s0"].After(back), "the server gets no calls after its failure domain was put back")
 		_, refused := stop()
 		require.Zero(t, refused)
-		for s, n := range c.starts().most {
+		for s, n := range c.starts().maxRunning {
 			require.LessOrEqual(t, n, 4, s)
 		}
 		c.close()
 	})
 }
 
-// TestControlVMStopsUnderLoad hands shards over while calls run; no call may wait for it.
+// TestControlVMStopsUnderLoad stops and restarts a control VM while calls run. Its shards are handed over, so that no
+// call is delayed and no server goes without calls.
 func TestControlVMStopsUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 2, 9)
-		warm := c.workers(12, 20*time.Millisecond)
+		warm := c.runWorkers(12, 20*time.Millisecond)
 		time.Sleep(15 * time.Second)
 		warm()
-		stop := c.workers(16, 20*time.Millisecond)
+		stop := c.runWorkers(16, 20*time.Millisecond)
 		time.Sleep(time.Second)
-		c.forgetGaps()
+		c.resetGaps()
 		require.NoError(t, c.control["c1"].Stop(context.Background()))
 		delete(c.control, "c1")
 		time.Sleep(5 * time.Second)
@@ -128,8 +130,8 @@
 		longest, refused := stop()
 		require.Zero(t, refused)
 		require.Less(t, longest, 100*time.Millisecond)
-		for s, gap := range c.starts().gap {
-			require.Less(t, gap, grant.QuietPeriod/2, "server %s got no work for a while", s)
+		for s, gap := range c.starts().maxGap {
+			require.Less(t, gap, grant.QuietPeriod/2, "server %s got no calls for too long", s)
 		}
 		held := 0
 		for shard := range uint32(grant.Shards) {
@@ -137,35 +139,36 @@
 				held++
 			}
 		}
-		require.Greater(t, held, 10, "the restarted VM has its share back")
+		require.Greater(t, held, 10, "the restarted control VM did not get its shards back")
 		c.close()
 	})
 }
 
-// TestControlVMDiesUnderLoad loses a third of the shards; calls go on elsewhere, and the servers are used again once
-// the leases are over and the grants have run out.
+// TestControlVMDiesUnderLoad kills a control VM, and with it a third of the shards. Calls must continue on the other
+// servers, and the servers of the lost shards must be used again once the leases and the grants have expired.
 func TestControlVMDiesUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 2, 9)
-		stop := c.workers(8, 20*time.Millisecond)
+		stop := c.runWorkers(8, 20*time.Millisecond)
 		time.Sleep(15 * time.Second)
 		c.kill("c1")
 		time.Sleep(grant.LeaseTTL + grant.QuietPeriod + 2*grant.AnnounceEvery + 2*time.Second)
 		back := time.Now()
 		time.Sleep(3 * time.Second)
-		for s, at := range c.starts().last {
-			require.True(t, at.After(back), "server %s is not used again", s)
+		for s, at := range c.starts().lastStart {
+			require.True(t, at.After(back), "server %s got no calls after the grants had expired", s)
 		}
 		_, refused := stop()
 		require.Zero(t, refused)
-		for s, n := range c.starts().most {
+		for s, n := range c.starts().maxRunning {
 			require.LessOrEqual(t, n, 4, s)
 		}
 		c.close()
 	})
 }
 
-// TestSecondVMGetsAUnitOfASmallColdPool has one entry VM call a service now and then; another needs a unit at once.
+// TestSecondVMGetsAUnitOfASmallColdPool calls a pool of cold servers from several entry VMs in turn. Each VM must
+// release its idle unit soon enough for the next one.
 func TestSecondVMGetsAUnitOfASmallColdPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 4, 3)
@@ -184,19 +187,19 @@
 	})
 }
 
-// TestManyGrantorsAreAskedLessOften runs the grantors of the design size. Calls go on although each is asked only once a
-// second.
+// TestManyGrantorsAreAskedLessOften uses the number of grantors that the system is designed for. Calls must not be
+// delayed although each grantor is asked only about once a second.
 func TestManyGrantorsAreAskedLessOften(t *testing.T) {
 	require.Equal(t, grant.Renew, slots.AskEvery(3))
 	const grantors = 22
-	require.LessOrEqual(t, slots.AskEvery(grantors), grant.TTL*2/3, "the rest of a grant's lifetime is for the answer")
+	require.LessOrEqual(t, slots.AskEvery(grantors), grant.TTL*2/3, "too little of a grant's lifetime is left for the response")
 	require.Greater(t, slots.AskEvery(grantors), grant.Renew)
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, grantors, 2, 66)
-		warm := c.workers(12, 20*time.Millisecond)
+		warm := c.runWorkers(12, 20*time.Millisecond)
 		time.Sleep(15 * time.Second)
 		warm()
-		stop := c.workers(12, 20*time.Millisecond)
+		stop := c.runWorkers(12, 20*time.Millisecond)
 		time.Sleep(10 * time.Second)
 		longest, refused := stop()
 		require.Zero(t, refused)
