--- a/pkg/grantservice/handover.go
+++ b/pkg/grantservice/handover.go
@@ -16,29 +16,29 @@
 // peerTimeout bounds one call to another control VM.
 const peerTimeout = 500 * time.Millisecond
 
-// HandOver implements GrantService: another control VM passes shards on to this one.
+// HandOver implements GrantService: it receives the states of shards that another control VM hands over.
 func (s *Service) HandOver(_ context.Context, r *connect.Request[daisyhatchv1.HandOverRequest]) (*connect.Response[daisyhatchv1.HandOverResponse], error) {
-	s.take(r.Msg.Shards)
+	s.importStates(r.Msg.Shards)
 	return connect.NewResponse(&daisyhatchv1.HandOverResponse{}), nil
 }
 
-// take keeps the states of shards until their leases are free, and looks at the leases at once.
-func (s *Service) take(states []*daisyhatchv1.ShardState) {
+// importStates stores the states of shards until their leases are free, and triggers a check of the leases.
+func (s *Service) importStates(states []*daisyhatchv1.ShardState) {
 	s.mu.Lock()
 	for _, state := range states {
 		s.grantor.Import(state, time.Now())
 	}
-	s.takeLimits()
+	s.importLimits()
 	s.mu.Unlock()
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// export stops granting in a shard and returns its state with the organisations' limits kept there; nil when the
-// calls there can't all be accounted for.
-func (s *Service) export(shard uint32, now time.Time) *daisyhatchv1.ShardState {
+// exportShard stops granting in a shard and returns its state, including the limits of the organisations in it. It
+// returns nil when not all calls of the shard are accounted for.
+func (s *Service) exportShard(shard uint32, now time.Time) *daisyhatchv1.ShardState {
 	state := s.grantor.Export(shard, now)
 	if state == nil {
 		return nil
@@ -48,16 +48,16 @@
 	return state
 }
 
-// takeLimits takes over the limits of organisations that came with shards.
-func (s *Service) takeLimits() {
+// importLimits imports the organisations' limits that came with the shards taken over.
+func (s *Service) importLimits() {
 	now := time.Now()
 	for _, state := range s.grantor.TakenOver() {
 		s.allotter.Import(state.Limits, state.Fence+1, now)
 	}
 }
 
-// Yield implements GrantService: a control VM that comes first for some shards asks for them. What is given up is
-// not granted here any more, whether or not the answer arrives.
+// Yield implements GrantService: a control VM that precedes this one in the order of some shards requests them. This VM
+// grants nothing more in the shards that it yields, even if the response is lost.
 func (s *Service) Yield(ctx context.Context, r *connect.Request[daisyhatchv1.YieldRequest]) (*connect.Response[daisyhatchv1.YieldResponse], error) {
 	vms := s.voters()
 	out := &daisyhatchv1.YieldResponse{}
@@ -68,8 +68,8 @@
 		if shard >= grant.Shards || !s.grantor.Settled(shard, now) || rankOf(r.Msg.Vm, vms, shard) >= rankOf(s.opts.VM, vms, shard) {
 			continue
 		}
-		state := s.export(shard, now)
-		s.given[shard] = state
+		state := s.exportShard(shard, now)
+		s.yieldedStates[shard] = state
 		out.Shards = append(out.Shards, state)
 		shards = append(shards, shard)
 	}
@@ -77,14 +77,14 @@
 	if len(shards) == 0 {
 		return connect.NewResponse(out), nil
 	}
-	if err := s.release(ctx, shards); err != nil {
+	if err := s.releaseLeases(ctx, shards); err != nil {
 		s.opts.Logger.V(1).Info("leases not released", "error", err.Error())
 	}
 	return connect.NewResponse(out), nil
 }
 
-// release gives leases back.
-func (s *Service) release(ctx context.Context, shards []uint32) error {
+// releaseLeases releases the leases of the shards.
+func (s *Service) releaseLeases(ctx context.Context, shards []uint32) error {
 	commands := make([]*daisyhatchv1.LeaseCommand, len(shards))
 	for i, shard := range shards {
 		commands[i] = &daisyhatchv1.LeaseCommand{
@@ -95,19 +95,19 @@
 	return err
 }
 
-// askForShards asks other control VMs for shards that this VM comes first for.
-func (s *Service) askForShards(ctx context.Context) {
+// requestPreferredShards requests the shards for which this VM precedes the present holder.
+func (s *Service) requestPreferredShards(ctx context.Context) {
 	if s.opts.HTTP == nil {
 		return
 	}
 	var wg sync.WaitGroup
-	for vm, shards := range s.leases.wanted(s.voters(), time.Now()) {
-		wg.Go(func() { s.askFor(ctx, vm, shards) })
+	for vm, shards := range s.leases.preferredShards(s.voters(), time.Now()) {
+		wg.Go(func() { s.requestShards(ctx, vm, shards) })
 	}
 	wg.Wait()
 }
 
-func (s *Service) askFor(ctx context.Context, vm string, shards []uint32) {
+func (s *Service) requestShards(ctx context.Context, vm string, shards []uint32) {
 	address := s.address(vm)
 	if address == "" {
 		return
@@ -119,10 +119,11 @@
 		s.opts.Logger.V(1).Info("shards not yielded", "vm", vm, "error", err.Error())
 		return
 	}
-	s.take(out.Msg.Shards)
+	s.importStates(out.Msg.Shards)
 }
 
-// Recall implements GrantService: another control VM took leases that this one gave up, without their states.
+// Recall implements GrantService: it returns the states of yielded shards to a control VM that acquired their leases
+// without receiving the states. Shards that were not yielded under the given fence are left out.
 func (s *Service) Recall(_ context.Context, r *connect.Request[daisyhatchv1.RecallRequest]) (*connect.Response[daisyhatchv1.RecallResponse], error) {
 	out := &daisyhatchv1.RecallResponse{}
 	s.mu.Lock()
@@ -131,15 +132,16 @@
 		if f.Shard >= grant.Shards {
 			continue
 		}
-		if state := s.given[f.Shard]; state != nil && state.Fence == f.Fence {
+		if state := s.yieldedStates[f.Shard]; state != nil && state.Fence == f.Fence {
 			out.Shards = append(out.Shards, state)
 		}
 	}
 	return connect.NewResponse(out), nil
 }
 
-// recall asks the VMs that gave shards up for the states of those that this VM took without.
-func (s *Service) recall(ctx context.Context) {
+// recallMissingStates requests the states of shards that this VM acquired without receiving them, from the VMs that
+// released them.
+func (s *Service) recallMissingStates(ctx context.Context) {
 	if s.opts.HTTP == nil {
 		return
 	}
@@ -153,7 +155,7 @@
 	}
 	s.mu.Unlock()
 	var wg sync.WaitGroup
-	for vm, shards := range s.leases.gaveUp(waiting) {
+	for vm, shards := range s.leases.releasedBy(waiting) {
 		wg.Go(func() { s.recallFrom(ctx, vm, shards) })
 	}
 	wg.Wait()
@@ -171,21 +173,21 @@
 		s.opts.Logger.V(1).Info("shards not recalled", "vm", vm, "error", err.Error())
 		return
 	}
-	s.take(out.Msg.Shards)
+	s.importStates(out.Msg.Shards)
 }
 
-// handOver passes all shards on to the VMs that come next for them and releases their leases.
+// handOver hands over all shards to the VMs that come next for them and releases the leases.
 func (s *Service) handOver(ctx context.Context) error {
 	s.observe()
 	var shards []uint32
 	var states []*daisyhatchv1.ShardState
 	s.mu.Lock()
 	for shard := range uint32(grant.Shards) {
-		if !s.leases.mine(shard) {
+		if !s.leases.heldHere(shard) {
 			continue
 		}
 		shards = append(shards, shard)
-		if state := s.export(shard, time.Now()); state != nil {
+		if state := s.exportShard(shard, time.Now()); state != nil {
 			states = append(states, state)
 		}
 	}
@@ -193,36 +195,36 @@
 	if len(shards) == 0 {
 		return nil
 	}
-	s.passAll(ctx, states)
-	return s.release(ctx, shards)
+	s.handOverStates(ctx, states)
+	return s.releaseLeases(ctx, shards)
 }
 
-// passAll passes each state on to the first VM in the shard's order that takes it. When none does, the VM that takes
-// the lease waits out the grants made here.
-func (s *Service) passAll(ctx context.Context, states []*daisyhatchv1.ShardState) {
+// handOverStates hands each state to the first VM in the shard's order that accepts it. When none does, the VM that
+// acquires the lease has to wait until the grants made here have expired.
+func (s *Service) handOverStates(ctx context.Context, states []*daisyhatchv1.ShardState) {
 	vms := slices.DeleteFunc(s.voters(), func(vm string) bool { return vm == s.opts.VM })
 	for len(states) > 0 && len(vms) > 0 {
-		next := make(map[string][]*daisyhatchv1.ShardState)
+		byVM := make(map[string][]*daisyhatchv1.ShardState)
 		for _, state := range states {
-			vm := firstOf(vms, state.Shard)
-			next[vm] = append(next[vm], state)
+			vm := firstVM(vms, state.Shard)
+			byVM[vm] = append(byVM[vm], state)
 		}
-		failed := s.passTo(ctx, next)
+		failed := s.handOverToEach(ctx, byVM)
 		states = nil
 		for _, vm := range failed {
-			states = append(states, next[vm]...)
+			states = append(states, byVM[vm]...)
 			vms = slices.DeleteFunc(vms, func(v string) bool { return v == vm })
 		}
 	}
 }
 
-// passTo passes states on to several VMs at once and returns those that did not take them.
-func (s *Service) passTo(ctx context.Context, next map[string][]*daisyhatchv1.ShardState) (failed []string) {
+// handOverToEach hands states to several VMs concurrently and returns the VMs that did not accept them.
+func (s *Service) handOverToEach(ctx context.Context, byVM map[string][]*daisyhatchv1.ShardState) (failed []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for vm, states := range next {
+	for vm, states := range byVM {
 		wg.Go(func() {
-			if s.pass(ctx, vm, states) {
+			if s.handOverTo(ctx, vm, states) {
 				return
 			}
 			mu.Lock()
@@ -234,8 +236,8 @@
 	return failed
 }
 
-// pass hands shards over to one VM and reports whether it took them.
-func (s *Service) pass(ctx context.Context, vm string, states []*daisyhatchv1.ShardState) bool {
+// handOverTo hands states to one VM and reports whether it accepted them.
+func (s *Service) handOverTo(ctx context.Context, vm string, states []*daisyhatchv1.ShardState) bool {
 	address := s.address(vm)
 	if s.opts.HTTP == nil || address == "" {
 		return false
@@ -250,8 +252,8 @@
 	return true
 }
 
-// firstOf returns the VM that comes first for a shard.
-func firstOf(vms []string, shard uint32) string {
+// firstVM returns the VM that comes first in a shard's order.
+func firstVM(vms []string, shard uint32) string {
 	for _, vm := range vms {
 		if rankOf(vm, vms, shard) == 0 {
 			return vm
@@ -260,6 +262,7 @@
 	return ""
 }
 
+// address returns the address of a control VM; "" when it is not a member of the group.
 func (s *Service) address(vm string) string {
 	for _, p := range s.opts.Log.Status().Membership.GetPeers() {
 		if p.Vm == vm {
--- a/pkg/grantservice/lease_renewal.go
+++ b/pkg/grantservice/lease_renewal.go
@@ -15,41 +15,41 @@
 
 // Errors of this package.
 var (
-	errAnnouncement = errors.New("grantservice: announcement without server, pool or incarnation")
-	// ErrLease means that the log gave no usable answer about leases.
+	errIncompleteAnnouncement = errors.New("grantservice: announcement without server, pool or incarnation")
+	// ErrLease means that a lease command could not be proposed or that its result is unusable.
 	ErrLease = errors.New("grantservice: lease not renewed")
 )
 
-// run keeps leases until ctx ends.
+// run acquires and renews leases until ctx ends.
 func (s *Service) run(ctx context.Context) {
 	defer close(s.done)
 	for {
 		if err := s.renew(ctx); err != nil && ctx.Err() == nil {
 			s.opts.Logger.V(1).Info("leases not renewed", "error", err.Error())
 		}
-		s.recall(ctx)
-		s.askForShards(ctx)
+		s.recallMissingStates(ctx)
+		s.requestPreferredShards(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(s.poll()):
-		case <-s.kick:
+		case <-time.After(s.pollInterval()):
+		case <-s.wakeup:
 		}
 	}
 }
 
-// poll returns the time until the leases are looked at again.
-func (s *Service) poll() time.Duration {
+// pollInterval returns the time until the leases are checked again.
+func (s *Service) pollInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.grantor.Expecting(time.Now()) {
-		return pollExpecting
+		return expectingPollInterval
 	}
-	return pollEvery
+	return leasePollInterval
 }
 
-// observe looks at all applied leases. The time is read after each lease, so that a pause in between only delays a
-// takeover.
+// observe reads all leases as applied on this VM. The clock is read after each lease, so that a pause in between can
+// only delay a takeover.
 func (s *Service) observe() {
 	for shard := range uint32(grant.Shards) {
 		var applied *daisyhatchv1.Lease
@@ -60,18 +60,18 @@
 	}
 }
 
-// renew asks for all due leases in one command, and gives those back whose shards were handed over.
+// renew proposes the commands for all due leases in one batch. It releases the leases of shards that were handed over.
 func (s *Service) renew(ctx context.Context) error {
 	s.observe()
 	now := time.Now()
 	vms := s.voters()
 	var release []bool
 	s.mu.Lock()
-	shards := s.leases.due(vms, s.grantor.Imported, now)
+	shards := s.leases.dueShards(vms, s.grantor.Imported, now)
 	s.grantor.Tick(now)
 	s.allotter.Tick(now)
 	for _, shard := range shards {
-		release = append(release, s.leases.mine(shard) && s.grantor.Exported(shard))
+		release = append(release, s.leases.heldHere(shard) && s.grantor.Exported(shard))
 	}
 	s.mu.Unlock()
 	if len(shards) == 0 {
@@ -95,6 +95,7 @@
 	return out
 }
 
+// voters returns the voting members of the control group, sorted by name.
 func (s *Service) voters() []string {
 	var out []string
 	for _, p := range s.opts.Log.Status().Membership.GetPeers() {
@@ -106,6 +107,7 @@
 	return out
 }
 
+// propose writes lease commands to the replicated log in one batch and returns their results in the same order.
 func (s *Service) propose(ctx context.Context, commands []*daisyhatchv1.LeaseCommand) ([]*daisyhatchv1.LeaseResult, error) {
 	batch := &daisyhatchv1.BatchCommand{}
 	now := time.Now().UnixMilli()
@@ -137,8 +139,8 @@
 	return out, nil
 }
 
-// apply takes over the outcome of commands that were made at the time asked. A lease counts only once this VM has the
-// configuration that was in force when it was renewed.
+// apply records the results of lease commands that were created at the time asked. A lease counts as held only once
+// this VM has applied the configuration that was in force when the lease was renewed.
 func (s *Service) apply(shards []uint32, results []*daisyhatchv1.LeaseResult, asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,5 +155,5 @@
 		}
 		s.grantor.Renewed(shard, r.Fence, r.Fence == 1, asked, now)
 	}
-	s.takeLimits()
+	s.importLimits()
 }
--- a/pkg/grantservice/lease_renewal_test.go
+++ b/pkg/grantservice/lease_renewal_test.go
@@ -13,8 +13,8 @@
 	"github.com/daisyhatch/daisyhatch/pkg/replica"
 )
 
-// A grantor that dies without releasing its leases is succeeded, and not before its leases are over.
-func TestDeadGrantorIsSucceeded(t *testing.T) {
+// A grantor that dies without releasing its leases must be replaced by another, but not before the leases have expired.
+func TestLeaseOfDeadGrantorIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := fsm.New()
 		log := replica.NewLocal("c1", m)
@@ -31,11 +31,11 @@
 		require.Equal(t, "c1", m.Lease(grant.LeaseName(0)).GetHolder())
 		second := start("c2")
 		time.Sleep(30 * time.Second)
-		require.Equal(t, "c1", m.Lease(grant.LeaseName(0)).GetHolder(), "a renewed lease is not taken over")
+		require.Equal(t, "c1", m.Lease(grant.LeaseName(0)).GetHolder(), "a lease that is renewed must not be taken over")
 		first.cancel()
 		<-first.done
 		time.Sleep(grant.LeaseTTL - grant.Renew)
-		require.Equal(t, "c1", m.Lease(grant.LeaseName(0)).GetHolder(), "taken over before its end")
+		require.Equal(t, "c1", m.Lease(grant.LeaseName(0)).GetHolder(), "the lease was taken over before it expired")
 		time.Sleep(30 * time.Second)
 		require.Equal(t, "c2", m.Lease(grant.LeaseName(0)).GetHolder())
 		second.cancel()
--- a/pkg/grantservice/quota.go
+++ b/pkg/grantservice/quota.go
@@ -11,7 +11,8 @@
 	"github.com/daisyhatch/daisyhatch/pkg/grant"
 )
 
-// Draw implements GrantService.
+// Draw implements GrantService: it grants an entry VM tokens and units of the organisations' limits. Organisations
+// whose shard this VM does not hold get none.
 func (s *Service) Draw(_ context.Context, r *connect.Request[daisyhatchv1.DrawRequest]) (*connect.Response[daisyhatchv1.DrawResponse], error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/grantservice/service.go
+++ b/pkg/grantservice/service.go
@@ -1,5 +1,5 @@
-// Package grantservice runs the grantor of a control VM: it keeps the leases of its share of the shards through the
-// replicated log and answers entry VMs.
+// Package grantservice runs the grantor of a control VM. It holds the leases of some of the shards through the
+// replicated log and answers the requests of entry VMs for grants in these shards.
 package grantservice
 
 import (
@@ -23,50 +23,51 @@
 	"github.com/daisyhatch/daisyhatch/pkg/replica"
 )
 
-// Options are what a Service needs.
+// Options configures a Service.
 type Options struct {
 	VM          string
 	Incarnation string
 	Log         replica.Log
-	// Config returns the configuration that this VM's state machine has applied; the set is nil while there is none.
+	// Config returns the configuration that this VM's state machine has applied; set is nil while there is none.
 	Config func() (version uint64, set *config.Set)
-	// Lease returns a lease as this VM's state machine has applied it, nil when there is none (fsm.Machine.Lease).
-	// Without it no shard of a VM that died is ever taken over.
+	// Lease returns a lease as this VM's state machine has applied it, nil when there is none (fsm.Machine.Lease). If
+	// Lease is nil, the shards of a VM that died are never taken over.
 	Lease func(name string) *daisyhatchv1.Lease
-	// HTTP is the client for calls to other control VMs; without it shards are not handed over.
+	// HTTP is the client for calls to other control VMs; if it is nil, no shards are handed over.
 	HTTP connect.HTTPClient
-	// Invariants may be nil.
+	// Invariants records violated invariants; it may be nil.
 	Invariants *invariant.Recorder
 	Logger     logr.Logger
 }
 
-// Service answers GrantService and keeps leases. It is safe for concurrent use.
+// Service implements GrantService and holds the leases. It is safe for concurrent use.
 type Service struct {
 	opts Options
 
 	mu      sync.Mutex
 	grantor *grant.Grantor
-	// given is what other VMs asked for last in each shard, in case that one of them takes the lease without it.
-	given [grant.Shards]*daisyhatchv1.ShardState
-	// allotter keeps the limits of the organisations in this VM's shards.
+	// yieldedStates holds, by shard, the state that was last yielded to another VM. It is kept for Recall, in case the
+	// lease is acquired by a VM that did not receive the state.
+	yieldedStates [grant.Shards]*daisyhatchv1.ShardState
+	// allotter enforces the limits of the organisations in this VM's shards.
 	allotter *admission.Allotter
-	// leases is used by one goroutine at a time: the one that renews, then the one that stops it.
-	leases *leases
-	kick   chan struct{}
+	// leases is used by one goroutine at a time: first by run, and by Stop once run has ended.
+	leases *leaseTracker
+	wakeup chan struct{}
 
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// New returns a Service that is not started.
+// New returns a Service that acquires no leases until Start is called.
 func New(o Options) *Service {
 	now := time.Now()
 	return &Service{
 		opts:     o,
 		grantor:  grant.NewGrantor(o.Invariants, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), now),
 		allotter: admission.NewAllotter(),
-		leases:   newLeases(o.VM, o.Incarnation, now),
-		kick:     make(chan struct{}, 1),
+		leases:   newLeaseTracker(o.VM, o.Incarnation, now),
+		wakeup:   make(chan struct{}, 1),
 		done:     make(chan struct{}),
 	}
 }
@@ -76,7 +77,7 @@
 	return daisyhatchv1connect.NewGrantServiceHandler(s, opts...)
 }
 
-// Start begins to keep leases.
+// Start begins to acquire and renew leases in the background. The context is not used; call Stop or Abort to end it.
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -84,7 +85,8 @@
 	return nil
 }
 
-// Stop gives the leases up and returns when that is done or ctx ends.
+// Stop hands over the shards and releases their leases. It returns an error when ctx ends first or the leases can't be
+// released.
 func (s *Service) Stop(ctx context.Context) error {
 	if s.cancel == nil {
 		return nil
@@ -98,11 +100,12 @@
 	return s.handOver(ctx)
 }
 
-// Announce implements GrantService.
+// Announce implements GrantService. It refuses an announcement without server, pool or incarnation as an invalid
+// argument.
 func (s *Service) Announce(_ context.Context, r *connect.Request[daisyhatchv1.AnnounceRequest]) (*connect.Response[daisyhatchv1.AnnounceResponse], error) {
 	a := r.Msg.Announcement
 	if a.GetServer() == "" || a.GetPool() == "" || a.GetIncarnation() == "" {
-		return nil, connect.NewError(connect.CodeInvalidArgument, errAnnouncement)
+		return nil, connect.NewError(connect.CodeInvalidArgument, errIncompleteAnnouncement)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +114,8 @@
 	return connect.NewResponse(&daisyhatchv1.AnnounceResponse{RenewMs: grant.AnnounceEvery.Milliseconds()}), nil
 }
 
-// Acquire implements GrantService.
+// Acquire implements GrantService. It returns FailedPrecondition when the request contains a number that is unknown in
+// its session, and Aborted on other errors.
 func (s *Service) Acquire(_ context.Context, r *connect.Request[daisyhatchv1.AcquireRequest]) (*connect.Response[daisyhatchv1.AcquireResponse], error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +130,7 @@
 	return connect.NewResponse(out), nil
 }
 
-// Servers returns what the grantor knows of its backend servers.
+// Servers returns the status of the backend servers known to the grantor.
 func (s *Service) Servers() []*daisyhatchv1.ServerStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,14 +144,14 @@
 	return s.grantor.Held(time.Now())
 }
 
-// configure follows the configuration that the state machine has applied.
+// configure passes the configuration that the state machine has applied to the grantor.
 func (s *Service) configure() {
 	if version, set := s.opts.Config(); set != nil {
 		s.grantor.Configure(version, set)
 	}
 }
 
-// Abort ends the renewal of leases without giving them up, as when the VM dies.
+// Abort stops renewing leases without releasing them, as if the VM had died.
 func (s *Service) Abort() {
 	if s.cancel != nil {
 		s.cancel()
