--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease decides who holds named leases. It is pure and knows no clock: a holder counts its lease on its own
-// monotonic clock from before it asked, and a challenger may take a lease over only when it saw the lease
-// unchanged for a whole TTL on its own monotonic clock. No wall clock and no change of leader can end a lease early.
+// Package lease decides who holds named leases. It does no I/O and reads no clock. A holder measures its lease on its
+// own monotonic clock, starting before it sent the request. A challenger may take over a lease only after it has seen
+// the lease unchanged for a whole TTL on its own monotonic clock. Neither a wall clock nor a change of the consensus
+// leader can end a lease early.
 package lease
 
 import (
@@ -14,18 +15,18 @@
 
 // Errors of this package.
 var (
-	// ErrCommand means that a command is malformed; nothing was changed.
+	// ErrCommand means that a command is malformed; the state was not changed.
 	ErrCommand = errors.New("lease: malformed command")
-	// ErrSnapshot means that a snapshot contradicts itself.
+	// ErrSnapshot means that a snapshot is inconsistent: it contains a lease twice, or more than MaxLeases.
 	ErrSnapshot = errors.New("lease: bad snapshot")
 )
 
 // Limits of the state.
 const (
-	// MaxLeases is the count of lease names.
+	// MaxLeases is the largest number of lease names.
 	MaxLeases = 1_024
-	// MaxName is the size of a name, holder or incarnation in bytes.
-	MaxName = 128
+	// MaxNameBytes is the largest size of a lease name, holder or incarnation in bytes.
+	MaxNameBytes = 128
 	// MaxTTLMs is the longest TTL in milliseconds.
 	MaxTTLMs = 60_000
 )
@@ -41,9 +42,11 @@
 	return &Table{leases: make(map[string]*daisyhatchv1.Lease)}
 }
 
-// Apply acquires, renews or releases a lease. It returns ErrCommand for a malformed command.
+// Apply acquires, renews or releases a lease and returns its state afterwards. A lease held by another process is taken
+// over only if the command names its present renewal number. Apply returns ErrCommand for a malformed command or a new
+// name beyond MaxLeases.
 func (t *Table) Apply(c *daisyhatchv1.LeaseCommand) (*daisyhatchv1.LeaseResult, error) {
-	if err := check(c); err != nil {
+	if err := validate(c); err != nil {
 		return nil, err
 	}
 	l, ok := t.leases[c.GetName()]
@@ -62,12 +65,12 @@
 		l.Renewal++
 		l.TtlMs = max(l.GetTtlMs(), c.GetTtlMs())
 	case l.GetHolder() == "" || c.GetObservedRenewal() == l.GetRenewal():
-		t.take(l, c)
+		t.acquire(l, c)
 	}
 	return result(l, c), nil
 }
 
-func (t *Table) take(l *daisyhatchv1.Lease, c *daisyhatchv1.LeaseCommand) {
+func (t *Table) acquire(l *daisyhatchv1.Lease, c *daisyhatchv1.LeaseCommand) {
 	l.Holder = c.GetHolder()
 	l.Incarnation = c.GetIncarnation()
 	l.Fence++
@@ -76,6 +79,7 @@
 	t.changes++
 }
 
+// release frees a lease. It keeps the fence, so that the next holder gets a higher one.
 func (t *Table) release(l *daisyhatchv1.Lease) {
 	l.Holder = ""
 	l.Incarnation = ""
@@ -83,7 +87,8 @@
 	t.changes++
 }
 
-// holds reports whether the command comes from the lease's holder. A restarted holder is another one.
+// holds reports whether the command comes from the lease's holder. A restarted process has a new incarnation and is not
+// the holder.
 func holds(l *daisyhatchv1.Lease, c *daisyhatchv1.LeaseCommand) bool {
 	return l.GetHolder() == c.GetHolder() && l.GetIncarnation() == c.GetIncarnation()
 }
@@ -99,10 +104,10 @@
 	}
 }
 
-func check(c *daisyhatchv1.LeaseCommand) error {
+func validate(c *daisyhatchv1.LeaseCommand) error {
 	for _, s := range []string{c.GetName(), c.GetHolder(), c.GetIncarnation()} {
-		if s == "" || len(s) > MaxName {
-			return fmt.Errorf("%w: name, holder and incarnation must have 1 to %d bytes", ErrCommand, MaxName)
+		if s == "" || len(s) > MaxNameBytes {
+			return fmt.Errorf("%w: name, holder and incarnation must have 1 to %d bytes", ErrCommand, MaxNameBytes)
 		}
 	}
 	if !c.GetRelease() && (c.GetTtlMs() <= 0 || c.GetTtlMs() > MaxTTLMs) {
@@ -111,13 +116,14 @@
 	return nil
 }
 
-// Changes counts the changes of a holder. It is not part of the replicated state.
+// Changes returns how often a lease changed its holder since this Table was created, releases included. It is not part
+// of the replicated state.
 func (t *Table) Changes() uint64 { return t.changes }
 
-// Get returns a lease; nil when it was never acquired. The caller must not change it.
+// Get returns a lease; nil when it was never acquired. The caller must not modify it.
 func (t *Table) Get(name string) *daisyhatchv1.Lease { return t.leases[name] }
 
-// All returns all leases by name. The caller must not change them.
+// All returns all leases sorted by name. The caller must not modify them.
 func (t *Table) All() []*daisyhatchv1.Lease {
 	out := make([]*daisyhatchv1.Lease, 0, len(t.leases))
 	for _, l := range t.leases {
@@ -127,7 +133,8 @@
 	return out
 }
 
-// Restore returns the Table of a snapshot. It returns ErrSnapshot when the snapshot contradicts itself.
+// Restore returns the Table of a snapshot. It returns ErrSnapshot when the snapshot contains a lease twice, or more
+// than MaxLeases.
 func Restore(leases []*daisyhatchv1.Lease) (*Table, error) {
 	t := New()
 	for _, l := range leases {
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -14,7 +14,7 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict. A seed on the command line stands.
+// TestMain sets a fixed seed, so that every run has the same result. A seed given on the command line takes precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261204", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -27,25 +27,25 @@
 
 const ttl = 1500 * time.Millisecond
 
-// contender is one process that wants the lease. Its monotonic clock starts anywhere.
+// contender is a process that competes for the lease.
 type contender struct {
 	name     string
 	observer *Observer
 	observed uint64
-	// until is when its lease ends by its own reckoning, in true time.
-	until time.Time
-	fence uint64
+	// validUntil is when the lease ends by the contender's own reckoning, on the test's clock.
+	validUntil time.Time
+	fence      uint64
 }
 
-// sent is a command that takes a while to be applied.
-type sent struct {
+// inFlightCommand is a command that was sent but not applied yet.
+type inFlightCommand struct {
 	from  *contender
 	asked time.Time
 	cmd   *daisyhatchv1.LeaseCommand
 }
 
-// Contenders that renew, pause, restart and send commands that arrive late and out of order: no two count on the lease
-// at once, and the fence grows with each holder.
+// Contenders renew, pause and restore snapshots, and their commands are applied late and out of order. No two may
+// believe at the same time that they hold the lease, and the fence must never decrease.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New()
@@ -54,7 +54,7 @@
 		for i := range 3 {
 			contenders = append(contenders, &contender{name: fmt.Sprint("c", i), observer: NewObserver()})
 		}
-		var inFlight []sent
+		var inFlight []inFlightCommand
 		highest := uint64(0)
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{1, 100, 300, 500, 900}).Draw(t, "pass")) * time.Millisecond)
@@ -66,7 +66,7 @@
 			c := rapid.SampledFrom(contenders).Draw(t, "contender")
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1, 2:
-				inFlight = append(inFlight, ask(c, now))
+				inFlight = append(inFlight, newCommand(c, now))
 			case 3, 4, 5:
 				if len(inFlight) == 0 {
 					continue
@@ -79,24 +79,24 @@
 				if r.GetHeld() {
 					require.GreaterOrEqual(t, r.GetFence(), highest)
 					highest = r.GetFence()
-					s.from.until, s.from.fence = later(s.from.until, s.asked.Add(ttl)), r.GetFence()
+					s.from.validUntil, s.from.fence = later(s.from.validUntil, s.asked.Add(ttl)), r.GetFence()
 				}
 			default:
-				table = reload(t, table)
+				table = restoreFromSnapshot(t, table)
 			}
-			counting := 0
+			holders := 0
 			for _, c := range contenders {
-				if now.Before(c.until) {
-					counting++
+				if now.Before(c.validUntil) {
+					holders++
 				}
 			}
-			require.LessOrEqual(t, counting, 1, "two count on the lease")
+			require.LessOrEqual(t, holders, 1, "two contenders believe that they hold the lease")
 		}
 	})
 }
 
-func ask(c *contender, now time.Time) sent {
-	return sent{from: c, asked: now, cmd: &daisyhatchv1.LeaseCommand{
+func newCommand(c *contender, now time.Time) inFlightCommand {
+	return inFlightCommand{from: c, asked: now, cmd: &daisyhatchv1.LeaseCommand{
 		Name: "l", Holder: c.name, Incarnation: "1", TtlMs: ttl.Milliseconds(), ObservedRenewal: c.observed,
 	}}
 }
@@ -108,14 +108,14 @@
 	return b
 }
 
-func reload(t *rapid.T, old *Table) *Table {
+func restoreFromSnapshot(t *rapid.T, old *Table) *Table {
 	s := &daisyhatchv1.MachineSnapshot{Leases: old.All()}
 	n, err := Restore(proto.CloneOf(s).GetLeases())
 	require.NoError(t, err)
 	return n
 }
 
-func TestReleaseFreesAtOnceAndRestartDoesNot(t *testing.T) {
+func TestReleaseFreesLeaseAtOnceAndRestartDoesNot(t *testing.T) {
 	table := New()
 	c := &daisyhatchv1.LeaseCommand{Name: "l", Holder: "c1", Incarnation: "1", TtlMs: 1500}
 	first, err := table.Apply(c)
@@ -125,7 +125,7 @@
 	restarted.Incarnation = "2"
 	r, err := table.Apply(restarted)
 	require.NoError(t, err)
-	require.False(t, r.GetHeld(), "the earlier process may still be there")
+	require.False(t, r.GetHeld(), "the earlier process may still be running")
 	release := proto.CloneOf(c)
 	release.Release = true
 	_, err = table.Apply(release)
