--- a/pkg/quarantine/confirm.go
+++ b/pkg/quarantine/confirm.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// confirmedFor is how long after a list of suspects was asked for requests may still start under it. Together
-	// with the 100 ms of Source it is DefaultSpread: when a suspect is run again, no VM starts it unawares.
-	confirmedFor = DefaultSpread - 100*time.Millisecond
-	// ConfirmAgain is the age at which the list is asked for anew while requests go on.
-	ConfirmAgain = confirmedFor * 3 / 4
-	// confirmTimeout bounds one question for the list.
-	confirmTimeout = 600 * time.Millisecond
-	// confirmRetry is when a caller may resend what could not be confirmed.
-	confirmRetry = time.Second
+	// maxListAge is how long after the list of suspects was requested requests may still start on its basis. A Source may
+	// miss what was committed in the 100 ms before the request; the sum is DefaultSpread, so that no VM starts a suspect
+	// unknowingly once its retry begins.
+	maxListAge = DefaultSpread - 100*time.Millisecond
+	// ConfirmAgain is the age at which the list is refreshed in the background while requests keep starting.
+	ConfirmAgain = maxListAge * 3 / 4
+	// refreshTimeout bounds one request for the list.
+	refreshTimeout = 600 * time.Millisecond
+	// unconfirmedRetryAfter is the Retry-After time sent to a caller whose request was refused for lack of a fresh list.
+	unconfirmedRetryAfter = time.Second
 )
 
-// confirmation is a question for the list of suspects that is under way.
-type confirmation struct {
-	// done is closed when the question is answered, or has failed with err.
+// listRefresh is one request for the list of suspects.
+type listRefresh struct {
+	// done is closed when the request is answered, or has failed with err.
 	done chan struct{}
 	err  error
 }
 
-// Confirm returns once this VM's list of suspects holds all crashes that other VMs may act on, which is at once while the
-// last confirmation is fresh. Call it before a request starts on a server. Errors are *apierr.Error with NotRun.
+// Confirm returns once this VM's list of suspects holds all crashes that other VMs may act on. That is at once while the
+// last confirmed list is fresh. Call it before a request starts on a server. Errors are *apierr.Error with NotRun.
 func (q *Quarantine) Confirm(ctx context.Context) error {
 	if q.opts.Source == nil {
 		return nil
 	}
 	for {
-		c := q.confirming()
+		c := q.refreshIfStale()
 		if c == nil {
 			return nil
 		}
@@ -49,41 +50,42 @@
 	}
 }
 
-// confirming returns the question that must be waited for; nil while the list is fresh. It asks anew in good time.
-func (q *Quarantine) confirming() *confirmation {
+// refreshIfStale returns the list request to wait for; nil while the list is fresh. It starts a refresh in the background
+// once the list is older than ConfirmAgain, before requests have to wait for it.
+func (q *Quarantine) refreshIfStale() *listRefresh {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	age := time.Since(q.confirmedAt)
-	if age > ConfirmAgain && q.asking == nil {
-		q.asking = &confirmation{done: make(chan struct{})}
-		go q.ask(q.asking)
+	if age > ConfirmAgain && q.refreshing == nil {
+		q.refreshing = &listRefresh{done: make(chan struct{})}
+		go q.refresh(q.refreshing)
 	}
-	if age <= confirmedFor {
+	if age <= maxListAge {
 		return nil
 	}
-	return q.asking
+	return q.refreshing
 }
 
-// ask asks for the list once and tells those who wait.
-func (q *Quarantine) ask(c *confirmation) {
-	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
+// refresh requests the list once and wakes the callers that wait on r.
+func (q *Quarantine) refresh(c *listRefresh) {
+	ctx, cancel := context.WithTimeout(context.Background(), refreshTimeout)
 	defer cancel()
-	at := time.Now()
+	requestedAt := time.Now()
 	list, err := q.opts.Source.Suspects(ctx)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.state.merge(list, false)
 	if err == nil {
-		q.confirmedAt = at
+		q.confirmedAt = requestedAt
 	} else {
-		unconfirmed.Inc()
+		refreshesFailed.Inc()
 	}
 	c.err = err
-	q.asking = nil
+	q.refreshing = nil
 	close(c.done)
 }
 
 func errUnconfirmed() *apierr.Error {
 	e := apierr.New(http.StatusServiceUnavailable, apierr.NoCapacity, "this VM is cut off and can't tell which requests crash servers")
-	return e.After(confirmRetry)
+	return e.After(unconfirmedRetryAfter)
 }
--- a/pkg/quarantine/export_test.go
+++ b/pkg/quarantine/export_test.go
@@ -1,8 +1,8 @@
 package quarantine
 
-// Size returns how many fingerprints are kept.
+// Size returns the number of fingerprints stored, of suspects and of served requests.
 func (t *Tracker) Size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.memory.own.Records()) + len(t.memory.shared) + len(t.memory.served)
+	return len(t.state.local.Records()) + len(t.state.shared) + len(t.state.lastServed)
 }
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -1,8 +1,9 @@
-// Package quarantine keeps requests that crash backend servers from being run again. It is the entry VM's side: it
-// knows which requests are in flight where, reports crashes to the control VMs, and holds the suspects that they
-// share. A request in flight on a server that crashed is a suspect and runs alone from then on; one that crashes
-// a server while it runs alone is convicted and refused for a time. Running beside a request
-// that crashes servers never convicts.
+// Package quarantine keeps requests that crash backend servers from being run again and again. It is the entry VM's
+// part: it records which requests are in flight on which server, reports crashes to the control VMs, and holds the list
+// of suspects that they replicate. With a Quarantine, a request that was in flight on a server that crashed is a suspect
+// and from then on runs alone on a server; if it crashes a server while it runs alone, it is convicted and refused for a
+// time. Running beside a request that crashes servers never convicts. A Tracker counts crashes instead and delays no
+// request.
 package quarantine
 
 import (
@@ -22,40 +23,42 @@
 )
 
 const (
-	// reportTimeout bounds the tries to commit one crash report.
+	// reportTimeout bounds the attempts to commit one crash report.
 	reportTimeout = 30 * time.Second
-	// reportFirstPause and reportMostPause are the pauses between them.
-	reportFirstPause = 20 * time.Millisecond
-	reportMostPause  = 200 * time.Millisecond
+	// reportInitialBackoff and reportMaxBackoff are the first and the longest pause between these attempts.
+	reportInitialBackoff = 20 * time.Millisecond
+	reportMaxBackoff     = 200 * time.Millisecond
 )
 
-// DefaultSpread is how long after a crash was committed all entry VMs know of it, or start no request.
+// DefaultSpread is the time after the commit of a crash report by which every entry VM either knows of the crash or
+// starts no requests.
 const DefaultSpread = 500 * time.Millisecond
 
 var (
-	crashesReported = metrics.NewCounter("daisyhatch_quarantine_crashes_reported_total")
-	unconfirmed     = metrics.NewCounter("daisyhatch_quarantine_unconfirmed_lists_total")
-	reportsFailed   = metrics.NewCounter("daisyhatch_quarantine_reports_failed_total")
-	convictedKnown  = metrics.NewCounter("daisyhatch_quarantine_convictions_learned_total")
+	crashesReported    = metrics.NewCounter("daisyhatch_quarantine_crashes_reported_total")
+	refreshesFailed    = metrics.NewCounter("daisyhatch_quarantine_unconfirmed_lists_total")
+	reportsFailed      = metrics.NewCounter("daisyhatch_quarantine_reports_failed_total")
+	convictionsLearned = metrics.NewCounter("daisyhatch_quarantine_convictions_learned_total")
 )
 
-// Reporter shares a crash through the replicated log. It returns once the command is committed.
+// Reporter commits crash reports to the replicated log of the control VMs.
 type Reporter interface {
+	// ReportCrash returns once the command is committed.
 	ReportCrash(ctx context.Context, c *daisyhatchv1.CrashCommand) (*daisyhatchv1.CrashResult, error)
 }
 
-// Options are the parts that a Quarantine stands on.
+// Options are the dependencies and settings of a Quarantine.
 type Options struct {
 	Reporter Reporter
-	// Source is asked for the list of suspects before requests start; nil turns that off.
+	// Source returns the list of suspects, which is refreshed before requests start; nil disables this check.
 	Source Source
-	// Ledger keeps a suspect from running on two VMs at once; nil turns that off.
+	// Ledger keeps a suspect from running on two VMs at once; nil disables this.
 	Ledger dispatch.Ledger
 	Log    logr.Logger
-	// Spread is how long a retry of a suspect waits after its report was committed, so that no other entry VM starts
-	// the same request unawares; 0 takes DefaultSpread.
+	// Spread is how long the retry of a suspect waits after its crash report was committed, so that no other entry VM
+	// starts the same request without knowing that it is a suspect. 0 means DefaultSpread.
 	Spread time.Duration
-	// Now is the wall clock, for the expiry of suspicion; nil takes time.Now.
+	// Now returns the wall-clock time, by which suspicions expire; nil means time.Now.
 	Now func() time.Time
 }
 
@@ -65,9 +68,10 @@
 
 	mu    sync.Mutex
 	state state
-	// confirmedAt is when the last list that was confirmed was asked for; asking is the question under way, or nil.
+	// confirmedAt is when the latest confirmed list was requested.
 	confirmedAt time.Time
-	asking      *confirmation
+	// refreshing is the list request in progress; nil when there is none.
+	refreshing *listRefresh
 }
 
 var _ dispatch.Quarantine = (*Quarantine)(nil)
@@ -83,7 +87,7 @@
 	return &Quarantine{opts: o, state: newState()}
 }
 
-// Update takes the whole list of suspects that the control VMs share.
+// Update applies the complete list of suspects received from a control VM.
 func (q *Quarantine) Update(suspects []*daisyhatchv1.Suspect) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -101,8 +105,8 @@
 func (q *Quarantine) Begin(t engine.Target, fingerprint uint64, alone bool) (end func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	k := keyOf(t)
-	id := q.state.begin(k, flight{fingerprint: fingerprint, alone: alone})
+	k := serverKeyOf(t)
+	id := q.state.begin(k, runningRequest{fingerprint: fingerprint, alone: alone})
 	return func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
@@ -110,73 +114,74 @@
 	}
 }
 
-// Crashed implements dispatch.Quarantine. All requests in flight on the server are reported at once, by the first
-// of them; the others wait for that report. It returns an error when the report could not be committed before ctx ended.
+// Crashed implements dispatch.Quarantine. The first caller for a crashed server reports all requests that were in flight
+// on it; the others wait for that report. It returns an error when the report could not be committed before ctx ended.
 func (q *Quarantine) Crashed(ctx context.Context, t engine.Target, fingerprint uint64) (dispatch.Verdict, error) {
 	q.mu.Lock()
-	c, first := q.state.crashed(keyOf(t), flight{fingerprint: fingerprint})
+	c, first := q.state.reportFor(serverKeyOf(t), runningRequest{fingerprint: fingerprint})
 	q.mu.Unlock()
 	if first {
 		go q.report(context.WithoutCancel(ctx), c)
 	}
 	if !c.wait(ctx) {
-		return dispatch.Suspect, fmt.Errorf("quarantine: crash of %s not shared: %w", t.Server, context.Cause(ctx))
+		return dispatch.Suspect, fmt.Errorf("quarantine: crash report for server %s not committed: %w", t.Server, context.Cause(ctx))
 	}
 	if c.err != nil {
-		return dispatch.Suspect, fmt.Errorf("quarantine: crash of %s not shared: %w", t.Server, c.err)
+		return dispatch.Suspect, fmt.Errorf("quarantine: crash report for server %s not committed: %w", t.Server, c.err)
 	}
 	return max(q.Check(fingerprint), dispatch.Suspect), nil
 }
 
-// report commits a crash report and takes over the verdicts. It goes on for reportTimeout, also when the request that
-// found the crash has ended.
-func (q *Quarantine) report(ctx context.Context, c *crash) {
+// report commits a crash report and applies the verdicts in the answer. It retries for reportTimeout, even after the
+// request that detected the crash has ended.
+func (q *Quarantine) report(ctx context.Context, c *crashReport) {
 	crashesReported.Inc()
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	res, err := persist(ctx, reportMostPause, func() (*daisyhatchv1.CrashResult, error) {
+	res, err := retryWithBackoff(ctx, reportMaxBackoff, func() (*daisyhatchv1.CrashResult, error) {
 		return q.opts.Reporter.ReportCrash(ctx, c.command)
 	})
-	q.learn(c, res, err)
+	q.applyReportResult(c, res, err)
 	if err == nil && !c.command.GetAlone() {
-		q.spread(ctx)
+		q.waitForPropagation(ctx)
 	}
 	close(c.done)
 }
 
-// persist calls do until it succeeds or ctx ends, with pauses that grow up to most.
-func persist[T any](ctx context.Context, most time.Duration, do func() (T, error)) (T, error) {
+// retryWithBackoff calls call until it succeeds or ctx ends, with exponential backoff between reportInitialBackoff and
+// maxInterval. The error includes that of the last call.
+func retryWithBackoff[T any](ctx context.Context, maxInterval time.Duration, call func() (T, error)) (T, error) {
 	policy := backoff.NewExponentialBackOff()
-	policy.InitialInterval = reportFirstPause
-	policy.MaxInterval = most
-	var last error
+	policy.InitialInterval = reportInitialBackoff
+	policy.MaxInterval = maxInterval
+	var lastErr error
 	res, err := backoff.Retry(ctx, func() (T, error) {
-		res, err := do()
-		last = err
+		res, err := call()
+		lastErr = err
 		return res, err
 	}, backoff.WithBackOff(policy))
 	if err != nil {
-		err = errors.Join(err, last)
+		err = errors.Join(err, lastErr)
 	}
 	return res, err
 }
 
-// learn takes over what the control VMs answered to a report.
-func (q *Quarantine) learn(c *crash, res *daisyhatchv1.CrashResult, err error) {
+// applyReportResult applies the control VMs' answer to a crash report.
+func (q *Quarantine) applyReportResult(c *crashReport, res *daisyhatchv1.CrashResult, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if err != nil {
 		reportsFailed.Inc()
 		c.err = err
-		q.state.forget(c)
+		q.state.removeReport(c)
 		return
 	}
 	q.state.merge(res.GetSuspects(), false)
 }
 
-// spread waits until the other entry VMs heard of a report. After the crash of a suspect that ran alone there is no
-// need: nobody else is given the right to run it.
-func (q *Quarantine) spread(ctx context.Context) {
+// waitForPropagation waits until the other entry VMs know of a committed crash report. It isn't needed after the crash of
+// a suspect that ran alone, since no other VM can claim that suspect.
+func (q *Quarantine) waitForPropagation(ctx context.Context) {
 	t := time.NewTimer(q.opts.Spread)
 	defer t.Stop()
 	select {
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -26,8 +26,9 @@
 
 var server = engine.Target{Server: "s", Incarnation: "1"}
 
-// reporter records reports and makes every reported fingerprint a suspect.
-type reporter struct {
+// fakeReporter records reports and makes every reported fingerprint a suspect. Its first calls fail, as many as failures
+// says.
+type fakeReporter struct {
 	mu       sync.Mutex
 	reports  []*daisyhatchv1.CrashCommand
 	failures int
@@ -35,7 +36,7 @@
 
 var errReport = errors.New("no leader")
 
-func (r *reporter) ReportCrash(_ context.Context, c *daisyhatchv1.CrashCommand) (*daisyhatchv1.CrashResult, error) {
+func (r *fakeReporter) ReportCrash(_ context.Context, c *daisyhatchv1.CrashCommand) (*daisyhatchv1.CrashResult, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.failures > 0 {
@@ -45,34 +46,35 @@
 	r.reports = append(r.reports, c)
 	res := &daisyhatchv1.CrashResult{}
 	for _, f := range c.GetFingerprints() {
-		res.Suspects = append(res.Suspects, entry(f, suspect, time.Minute))
+		res.Suspects = append(res.Suspects, newSuspect(f, suspect, time.Minute))
 	}
 	return res, nil
 }
 
-func (r *reporter) heal() {
+func (r *fakeReporter) stopFailing() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failures = 0
 }
 
-func (r *reporter) sent() []*daisyhatchv1.CrashCommand {
+func (r *fakeReporter) sentReports() []*daisyhatchv1.CrashCommand {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reports
 }
 
-func entry(f uint64, s daisyhatchv1.SuspectState, in time.Duration) *daisyhatchv1.Suspect {
-	return &daisyhatchv1.Suspect{Fingerprint: f, State: s, ExpiresUnixMs: time.Now().Add(in).UnixMilli()}
+// newSuspect returns a suspect that expires after ttl.
+func newSuspect(f uint64, s daisyhatchv1.SuspectState, ttl time.Duration) *daisyhatchv1.Suspect {
+	return &daisyhatchv1.Suspect{Fingerprint: f, State: s, ExpiresUnixMs: time.Now().Add(ttl).UnixMilli()}
 }
 
-func newQuarantine(r *reporter) *quarantine.Quarantine {
+func newQuarantine(r *fakeReporter) *quarantine.Quarantine {
 	return quarantine.New(quarantine.Options{Reporter: r, Log: logr.Discard()})
 }
 
-func TestOneReportNamesAllInFlight(t *testing.T) {
+func TestOneReportListsAllRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reporter{}
+		r := &fakeReporter{}
 		q := newQuarantine(r)
 		for _, f := range []uint64{1, 2, 3} {
 			defer q.Begin(server, f, false)()
@@ -89,16 +91,16 @@
 		}
 		wg.Wait()
 		require.Len(t, r.reports, 1)
-		prints := r.reports[0].GetFingerprints()
-		slices.Sort(prints)
-		require.Equal(t, []uint64{1, 2, 3}, prints)
+		fingerprints := r.reports[0].GetFingerprints()
+		slices.Sort(fingerprints)
+		require.Equal(t, []uint64{1, 2, 3}, fingerprints)
 		require.False(t, r.reports[0].GetAlone())
 		require.Equal(t, dispatch.Clear, q.Check(4))
 		require.Equal(t, dispatch.Clear, q.Check(5))
 	})
 }
 
-func TestAloneOnlyWithoutNeighbours(t *testing.T) {
+func TestReportIsAloneOnlyWithoutOtherRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		alone     bool
@@ -106,12 +108,12 @@
 		want      bool
 	}{
 		{"alone", true, false, true},
-		{"beside another", true, true, false},
+		{"beside another request", true, true, false},
 		{"not a suspect yet", false, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := &reporter{}
+				r := &fakeReporter{}
 				q := newQuarantine(r)
 				defer q.Begin(server, 1, tc.alone)()
 				if tc.neighbour {
@@ -125,9 +127,9 @@
 	}
 }
 
-func TestCrashIsSharedBeforeTheVerdict(t *testing.T) {
+func TestCrashedReturnsAfterReportIsCommitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reporter{failures: 3}
+		r := &fakeReporter{failures: 3}
 		q := newQuarantine(r)
 		defer q.Begin(server, 1, false)()
 		_, err := q.Crashed(t.Context(), server, 1)
@@ -136,44 +138,44 @@
 	})
 }
 
-func TestUnsharedCrashIsAnError(t *testing.T) {
+func TestCrashedFailsWithoutCommittedReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reporter{failures: 1 << 20}
+		r := &fakeReporter{failures: 1 << 20}
 		q := newQuarantine(r)
 		defer q.Begin(server, 1, false)()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := q.Crashed(ctx, server, 1)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
-		require.Empty(t, r.sent())
-		r.heal()
+		require.Empty(t, r.sentReports())
+		r.stopFailing()
 		time.Sleep(time.Second)
-		require.Len(t, r.sent(), 1, "the report goes on when its request has ended")
+		require.Len(t, r.sentReports(), 1, "the report must be retried after its request has ended")
 		require.Equal(t, dispatch.Suspect, q.Check(1))
 	})
 }
 
-func TestReportThatFailedForGoodIsTriedAgain(t *testing.T) {
+func TestFailedReportIsSentAgainByNextRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reporter{failures: 1 << 20}
+		r := &fakeReporter{failures: 1 << 20}
 		q := newQuarantine(r)
 		defer q.Begin(server, 1, false)()
 		_, err := q.Crashed(t.Context(), server, 1)
 		require.ErrorIs(t, err, errReport)
-		r.heal()
+		r.stopFailing()
 		_, err = q.Crashed(t.Context(), server, 1)
-		require.NoError(t, err, "the next one tries again")
+		require.NoError(t, err, "the next request must send the report again")
 	})
 }
 
 func TestSuspicionExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuarantine(&reporter{})
-		q.Update([]*daisyhatchv1.Suspect{entry(1, suspect, time.Minute), entry(2, convicted, time.Hour)})
+		q := newQuarantine(&fakeReporter{})
+		q.Update([]*daisyhatchv1.Suspect{newSuspect(1, suspect, time.Minute), newSuspect(2, convicted, time.Hour)})
 		require.Equal(t, dispatch.Suspect, q.Check(1))
 		require.Equal(t, dispatch.Convicted, q.Check(2))
 		q.Update(nil)
-		require.Equal(t, dispatch.Suspect, q.Check(1), "a list that lags does not clear")
+		require.Equal(t, dispatch.Suspect, q.Check(1), "a suspect missing from a list must stay until it expires")
 		time.Sleep(time.Minute)
 		require.Equal(t, dispatch.Clear, q.Check(1))
 		require.Equal(t, dispatch.Convicted, q.Check(2))
@@ -182,22 +184,22 @@
 	})
 }
 
-func TestListedSuspectStandsWhateverTheClock(t *testing.T) {
+func TestListedSuspectIgnoresLocalExpiry(t *testing.T) {
 	q := quarantine.New(quarantine.Options{
-		Reporter: &reporter{},
+		Reporter: &fakeReporter{},
 		Log:      logr.Discard(),
 		Now:      func() time.Time { return time.Now().Add(24 * time.Hour) },
 	})
-	q.Update([]*daisyhatchv1.Suspect{entry(1, suspect, time.Minute)})
+	q.Update([]*daisyhatchv1.Suspect{newSuspect(1, suspect, time.Minute)})
 	require.Equal(t, dispatch.Suspect, q.Check(1))
 	q.Update(nil)
 	require.Equal(t, dispatch.Clear, q.Check(1))
 }
 
-func TestLateReportDoesNotSoftenAVerdict(t *testing.T) {
+func TestLateReportKeepsConviction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQuarantine(&reporter{})
-		q.Update([]*daisyhatchv1.Suspect{entry(1, convicted, time.Hour)})
+		q := newQuarantine(&fakeReporter{})
+		q.Update([]*daisyhatchv1.Suspect{newSuspect(1, convicted, time.Hour)})
 		defer q.Begin(server, 1, false)()
 		v, err := q.Crashed(t.Context(), server, 1)
 		require.NoError(t, err)
@@ -205,12 +207,12 @@
 	})
 }
 
-// ledger is a claim ledger in memory.
-type ledger struct {
+// fakeLedger is a claim ledger in memory.
+type fakeLedger struct {
 	claims map[string]string
 }
 
-func (l *ledger) Claim(_ context.Context, k dispatch.ClaimKey, _ uint64, _ time.Time) (dispatch.Claim, error) {
+func (l *fakeLedger) Claim(_ context.Context, k dispatch.ClaimKey, _ uint64, _ time.Time) (dispatch.Claim, error) {
 	switch l.claims[k.Key] {
 	case "":
 		l.claims[k.Key] = "pending"
@@ -224,47 +226,47 @@
 	}
 }
 
-func (l *ledger) Complete(_ context.Context, k dispatch.ClaimKey, _ dispatch.Outcome) error {
+func (l *fakeLedger) Complete(_ context.Context, k dispatch.ClaimKey, _ dispatch.Outcome) error {
 	l.claims[k.Key] = "crashed"
 	return nil
 }
 
-func (l *ledger) Abandon(_ context.Context, k dispatch.ClaimKey) error {
+func (l *fakeLedger) Abandon(_ context.Context, k dispatch.ClaimKey) error {
 	delete(l.claims, k.Key)
 	return nil
 }
 
-func (l *ledger) Unknown(context.Context, dispatch.ClaimKey) error { return nil }
+func (l *fakeLedger) Unknown(context.Context, dispatch.ClaimKey) error { return nil }
 
-func TestSoloIsHeldByOneVM(t *testing.T) {
-	l := &ledger{claims: map[string]string{}}
-	a, b := withLedger(l), withLedger(l)
-	soon := time.Now().Add(time.Second)
-	release, err := a.Solo(t.Context(), 1, soon)
+func TestClaimSuspectIsExclusive(t *testing.T) {
+	l := &fakeLedger{claims: map[string]string{}}
+	a, b := newQuarantineWithLedger(l), newQuarantineWithLedger(l)
+	deadline := time.Now().Add(time.Second)
+	release, err := a.Solo(t.Context(), 1, deadline)
 	require.NoError(t, err)
-	_, err = b.Solo(t.Context(), 1, soon)
+	_, err = b.Solo(t.Context(), 1, deadline)
 	require.Equal(t, apierr.NoCapacity, apierr.From(err).Code)
 	require.Equal(t, apierr.NotRun, apierr.From(err).Run)
 	release(false)
-	release, err = b.Solo(t.Context(), 1, soon)
-	require.NoError(t, err, "an innocent may run again")
+	release, err = b.Solo(t.Context(), 1, deadline)
+	require.NoError(t, err, "a suspect that crashed no server may run again")
 	release(true)
-	_, err = a.Solo(t.Context(), 1, soon)
-	require.Equal(t, apierr.RequestQuarantined, apierr.From(err).Code, "known from the ledger alone")
+	_, err = a.Solo(t.Context(), 1, deadline)
+	require.Equal(t, apierr.RequestQuarantined, apierr.From(err).Code, "the ledger must refuse a suspect that crashed its server, without a list")
 }
 
-func TestSoloGoesOnWhenItsHolderDied(t *testing.T) {
-	l := &ledger{claims: map[string]string{}}
-	q := withLedger(l)
+func TestSuspectIsClaimableAfterHolderLost(t *testing.T) {
+	l := &fakeLedger{claims: map[string]string{}}
+	q := newQuarantineWithLedger(l)
 	_, err := q.Solo(t.Context(), 1, time.Now().Add(time.Second))
 	require.NoError(t, err)
 	for k := range l.claims {
 		l.claims[k] = "lost"
 	}
 	_, err = q.Solo(t.Context(), 1, time.Now().Add(time.Second))
-	require.NoError(t, err, "an innocent is not refused for the death of a VM")
+	require.NoError(t, err, "a suspect must not be refused because a VM was lost")
 }
 
-func withLedger(l *ledger) *quarantine.Quarantine {
-	return quarantine.New(quarantine.Options{Reporter: &reporter{}, Ledger: l, Log: logr.Discard()})
+func newQuarantineWithLedger(l *fakeLedger) *quarantine.Quarantine {
+	return quarantine.New(quarantine.Options{Reporter: &fakeReporter{}, Ledger: l, Log: logr.Discard()})
 }
--- a/pkg/quarantine/source.go
+++ b/pkg/quarantine/source.go
@@ -14,113 +14,113 @@
 )
 
 const (
-	// listTimeout is how long one control VM is waited for with its list of suspects.
+	// listTimeout bounds one control VM's answer with its list of suspects.
 	listTimeout = 250 * time.Millisecond
-	// quietTime is how long a voter must have followed no leader to show that it helped to commit nothing lately. It is
-	// two heartbeats and more.
-	quietTime = 250 * time.Millisecond
+	// minLeaderlessTime is how long a voter must have followed no leader to show that it took part in no recent commit. It
+	// is more than two heartbeat intervals.
+	minLeaderlessTime = 250 * time.Millisecond
 )
 
-// ErrUnconfirmed means that no control VM confirmed its list of suspects, and that crashes may have been committed that
+// ErrUnconfirmed means that no control VM confirmed its list of suspects, so that crashes may have been committed that
 // this VM doesn't know of.
 var ErrUnconfirmed = errors.New("quarantine: list of suspects not confirmed")
 
-// Source gives lists of suspects.
+// Source returns lists of suspects.
 type Source interface {
-	// Suspects returns what a list of suspects holds beyond those that earlier calls returned. With a nil error, all
-	// suspects that were committed 100 ms before the call have been returned; errors are ErrUnconfirmed.
+	// Suspects returns the suspects that earlier calls did not return. With a nil error, all suspects committed up to
+	// 100 ms before the call have been returned. Errors are ErrUnconfirmed; new suspects may be returned with them.
 	Suspects(ctx context.Context) ([]*daisyhatchv1.Suspect, error)
 }
 
-// ControlSource asks the control VMs' EntryService. Its calls must not overlap.
+// ControlSource requests the list of suspects from the control VMs' EntryService. Its calls must not overlap.
 type ControlSource struct {
 	services []daisyhatchv1connect.EntryServiceClient
-	// known is the name of the last list of each control VM.
-	known []string
-	// at is the control VM to ask first.
-	at int
+	// listNames are the names of the latest list received from each control VM.
+	listNames []string
+	// preferred is the index of the control VM to ask first.
+	preferred int
 }
 
 var _ Source = (*ControlSource)(nil)
 
-// NewSource returns a source over the control VMs at the peer addresses, IP:port.
+// NewSource returns a source that asks the control VMs at the peer addresses, each IP:port.
 func NewSource(client connect.HTTPClient, addresses []string) *ControlSource {
-	s := &ControlSource{known: make([]string, len(addresses))}
+	s := &ControlSource{listNames: make([]string, len(addresses))}
 	for _, a := range addresses {
 		s.services = append(s.services, daisyhatchv1connect.NewEntryServiceClient(client, "http://"+a))
 	}
 	return s
 }
 
-// Suspects implements Source. It asks one control VM, and the others when that one can't confirm its list. Without a
-// confirmation it is enough that most voters have followed no leader lately: nothing was committed then.
+// Suspects implements Source. It asks one control VM, and the others when that one can't confirm its list. If none
+// confirms, it is enough that most voters have followed no leader lately, since nothing was committed then.
 func (s *ControlSource) Suspects(ctx context.Context) ([]*daisyhatchv1.Suspect, error) {
 	if len(s.services) == 0 {
 		return nil, fmt.Errorf("%w: %w", ErrUnconfirmed, ErrNoControl)
 	}
-	first := s.ask(ctx, s.at)
+	first := s.fetch(ctx, s.preferred)
 	var t tally
 	t.add(first)
 	if t.confirmed {
 		return t.suspects, nil
 	}
-	asked := s.at
-	for i, r := range s.askOthers(ctx, asked) {
+	asked := s.preferred
+	for i, r := range s.fetchOthers(ctx, asked) {
 		if i != asked && t.add(r) {
-			s.at = i
+			s.preferred = i
 		}
 	}
-	if !t.confirmed && !t.quiet() {
+	if !t.confirmed && !t.mostLeaderless() {
 		return t.suspects, ErrUnconfirmed
 	}
 	return t.suspects, nil
 }
 
-// askOthers asks all control VMs but one at once. An answer that did not come is nil.
-func (s *ControlSource) askOthers(ctx context.Context, but int) []*daisyhatchv1.SuspectsResponse {
+// fetchOthers asks all control VMs except one at the same time. The answer of one that didn't answer is nil.
+func (s *ControlSource) fetchOthers(ctx context.Context, except int) []*daisyhatchv1.SuspectsResponse {
 	answers := make([]*daisyhatchv1.SuspectsResponse, len(s.services))
 	var wg sync.WaitGroup
 	for i := range s.services {
-		if i != but {
-			wg.Go(func() { answers[i] = s.ask(ctx, i) })
+		if i != except {
+			wg.Go(func() { answers[i] = s.fetch(ctx, i) })
 		}
 	}
 	wg.Wait()
 	return answers
 }
 
-// ask asks one control VM; nil means that no answer came.
-func (s *ControlSource) ask(ctx context.Context, i int) *daisyhatchv1.SuspectsResponse {
+// fetch asks one control VM for its list; it returns nil when there is no answer.
+func (s *ControlSource) fetch(ctx context.Context, i int) *daisyhatchv1.SuspectsResponse {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	r, err := s.services[i].Suspects(ctx, connect.NewRequest(&daisyhatchv1.SuspectsRequest{List: s.known[i]}))
+	r, err := s.services[i].Suspects(ctx, connect.NewRequest(&daisyhatchv1.SuspectsRequest{List: s.listNames[i]}))
 	if err != nil {
 		return nil
 	}
-	s.known[i] = r.Msg.GetList()
+	s.listNames[i] = r.Msg.GetList()
 	return r.Msg
 }
 
-// tally adds up the answers of control VMs.
+// tally combines the answers of several control VMs.
 type tally struct {
-	suspects    []*daisyhatchv1.Suspect
-	confirmed   bool
-	quietVoters uint32
-	voters      uint32
+	suspects         []*daisyhatchv1.Suspect
+	confirmed        bool
+	leaderlessVoters uint32
+	voters           uint32
 }
 
-// add counts an answer, which may be nil. It returns true when the answer confirms its list.
+// add takes in one answer, which may be nil. It returns true when the answer confirms its list.
 func (t *tally) add(r *daisyhatchv1.SuspectsResponse) (confirmed bool) {
 	t.suspects = append(t.suspects, r.GetSuspects()...)
 	t.confirmed = t.confirmed || r.GetConfirmed()
 	t.voters = max(t.voters, r.GetVoters())
-	if r.GetVoter() && time.Duration(r.GetQuietMs())*time.Millisecond >= quietTime {
-		t.quietVoters++
+	if r.GetVoter() && time.Duration(r.GetQuietMs())*time.Millisecond >= minLeaderlessTime {
+		t.leaderlessVoters++
 	}
 	return r.GetConfirmed()
 }
 
-// quiet reports whether most voters have followed no leader lately.
-func (t *tally) quiet() bool {
-	return 2*t.quietVoters > t.voters
+// mostLeaderless reports whether most voters have followed no leader for minLeaderlessTime.
+func (t *tally) mostLeaderless() bool {
+	return 2*t.leaderlessVoters > t.voters
 }
--- a/pkg/quarantine/state.go
+++ b/pkg/quarantine/state.go
@@ -7,17 +7,19 @@
 	"github.com/daisyhatch/daisyhatch/pkg/dispatch"
 )
 
-// maxSuspects bounds the suspects held; more are not added.
+// maxSuspects bounds the suspects held; new ones beyond it are ignored.
 const maxSuspects = 65536
 
+// suspect is the verdict on one fingerprint and when it expires.
 type suspect struct {
 	verdict dispatch.Verdict
 	expires time.Time
-	// listed is true while the last list of the control VMs holds it; it stands then whatever this VM's clock says.
-	listed bool
+	// inLastList is true while the latest list of the control VMs holds the suspect; it doesn't expire by this VM's clock
+	// then.
+	inLastList bool
 }
 
-// state holds suspects, requests in flight and recent crashes. Times are passed in.
+// state holds suspects, requests in flight and recent crashes. Callers pass the current time.
 type state struct {
 	inFlight
 	suspects map[uint64]suspect
@@ -32,50 +34,50 @@
 	if !ok {
 		return dispatch.Clear
 	}
-	if f.over(now) {
+	if f.expired(now) {
 		delete(s.suspects, fingerprint)
 		return dispatch.Clear
 	}
 	return f.verdict
 }
 
-func (f suspect) over(now time.Time) bool {
-	return !f.listed && !now.Before(f.expires)
+func (f suspect) expired(now time.Time) bool {
+	return !f.inLastList && !now.Before(f.expires)
 }
 
-// update takes a whole list of suspects. What is not in it stands until it expires, since the list of a
-// control VM that lags may be older than what is known here.
+// update applies a complete list of suspects. Suspects that are missing from it are kept until they expire, since the
+// control VM that sent it may lag behind what this VM knows.
 func (s *state) update(now time.Time, list []*daisyhatchv1.Suspect) {
 	for k, f := range s.suspects {
-		f.listed = false
+		f.inLastList = false
 		s.suspects[k] = f
 	}
 	s.merge(list, true)
 	for k, f := range s.suspects {
-		if f.over(now) {
+		if f.expired(now) {
 			delete(s.suspects, k)
 		}
 	}
 }
 
-// merge adds suspects; a verdict never gets milder by it.
+// merge adds suspects. It never makes a verdict milder or its expiry earlier.
 func (s *state) merge(list []*daisyhatchv1.Suspect, listed bool) {
 	for _, p := range list {
-		f := suspect{verdict: verdictOf(p.GetState()), expires: time.UnixMilli(p.GetExpiresUnixMs()), listed: listed}
-		had := s.suspects[p.GetFingerprint()]
+		f := suspect{verdict: verdictOf(p.GetState()), expires: time.UnixMilli(p.GetExpiresUnixMs()), inLastList: listed}
+		previous := s.suspects[p.GetFingerprint()]
 		if f.verdict == dispatch.Clear {
 			continue
 		}
-		f.verdict = max(f.verdict, had.verdict)
-		f.listed = f.listed || had.listed
-		if had.expires.After(f.expires) {
-			f.expires = had.expires
+		f.verdict = max(f.verdict, previous.verdict)
+		f.inLastList = f.inLastList || previous.inLastList
+		if previous.expires.After(f.expires) {
+			f.expires = previous.expires
 		}
-		if len(s.suspects) >= maxSuspects && had.verdict == dispatch.Clear {
+		if len(s.suspects) >= maxSuspects && previous.verdict == dispatch.Clear {
 			continue
 		}
-		if f.verdict == dispatch.Convicted && had.verdict != dispatch.Convicted {
-			convictedKnown.Inc()
+		if f.verdict == dispatch.Convicted && previous.verdict != dispatch.Convicted {
+			convictionsLearned.Inc()
 		}
 		s.suspects[p.GetFingerprint()] = f
 	}
--- a/pkg/quarantine/tracker.go
+++ b/pkg/quarantine/tracker.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// trackerReportTimeout bounds the tries to commit a Tracker's report: as long as the suspicion lasts. A VM that was cut
-	// off tells of the crashes that it saw when it is back.
+	// trackerReportTimeout bounds the attempts to commit a Tracker's report. It is as long as a suspicion lasts, so that a
+	// VM that was cut off from the control VMs still reports the crashes that it saw once it reaches them again.
 	trackerReportTimeout = suspects.SuspicionMs * time.Millisecond
-	trackerMostPause     = time.Second
-	// clearTimeout bounds the tries to commit that a suspect was served: the next VM that serves it tells it again.
+	trackerMaxBackoff    = time.Second
+	// clearTimeout bounds the attempts to commit that a suspect was served. If they fail, the next VM that serves the
+	// suspect reports it.
 	clearTimeout = 5 * time.Second
-	// maxReports bounds the reports under way.
+	// maxReports bounds the reports to the control VMs in progress.
 	maxReports = 64
-	// leastRefusal is the shortest time for which a convicted request is refused.
-	leastRefusal = time.Second
+	// minRefusal is the shortest time that Tracker.Refused returns for a convicted request.
+	minRefusal = time.Second
 )
 
 var (
@@ -33,73 +34,75 @@
 	reportsDropped  = metrics.NewCounter("daisyhatch_quarantine_reports_dropped_total")
 )
 
-// TrackerOptions are the parts that a Tracker stands on.
+// TrackerOptions are the dependencies of a Tracker.
 type TrackerOptions struct {
-	// Reporter shares what this VM sees; nil keeps it here.
+	// Reporter reports crashes to the control VMs; nil keeps them on this VM.
 	Reporter Reporter
-	// Clear commits that suspects were served; set with Reporter.
+	// Clear commits that suspects were served; it must be set when Reporter is.
 	Clear func(ctx context.Context, fingerprints []uint64) error
 	Log   logr.Logger
 }
 
-// Tracker keeps requests under which servers ended one after the other from being run again. Unlike a Quarantine it makes no
-// request wait: the first repeat goes out at once, and from the third crash on the request is refused on all VMs. What
-// others of its kind survive, and what ended several servers at about the same time, doesn't count. It is safe for concurrent use.
+// Tracker refuses requests under which servers ended one after the other. Unlike a Quarantine it delays no request: the
+// first retry starts at once, and from the third crash on the request is refused on all VMs. A crash doesn't count against
+// a request that was served lately, and servers that end at about the same time count as one crash. It is safe for
+// concurrent use.
 type Tracker struct {
 	opts  TrackerOptions
 	start time.Time
 
-	mu      sync.Mutex
-	memory  memory
-	reports int
+	mu    sync.Mutex
+	state trackerState
+	// pendingReports counts the calls to the control VMs in progress, at most maxReports.
+	pendingReports int
 }
 
 // NewTracker returns a Tracker without suspects.
 func NewTracker(o TrackerOptions) *Tracker {
-	return &Tracker{opts: o, start: time.Now(), memory: newMemory()}
+	return &Tracker{opts: o, start: time.Now(), state: newTrackerState()}
 }
 
 // Run is one run of a request on a server.
 type Run struct {
 	tracker *Tracker
 	target  engine.Target
-	flight  flight
+	request  runningRequest
 }
 
-// Begin notes that a request starts on a server. End must be called.
+// Begin records that a request starts on a server. Call End on the result when the request is no longer there.
 func (t *Tracker) Begin(target engine.Target, fingerprint uint64) *Run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return &Run{tracker: t, target: target, flight: t.memory.start(target, fingerprint, time.Since(t.start))}
+	return &Run{tracker: t, target: target, request: t.state.startRun(target, fingerprint, time.Since(t.start))}
 }
 
-// End notes that the request is not on the server any more. It may be called again.
+// End records that the request is no longer on the server. It may be called more than once.
 func (r *Run) End() {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
-	r.tracker.memory.end(keyOf(r.target), r.flight.id)
+	r.tracker.state.end(serverKeyOf(r.target), r.request.id)
 }
 
-// Crashed notes that the server ended under the run, also some time after End. It counts on this VM at once; the other VMs
-// are told in the background.
+// Crashed records that the server ended during the run; it may be called after End. The crash counts on this VM at once
+// and is reported to the control VMs in the background.
 func (r *Run) Crashed() {
 	t := r.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c, err := t.memory.ended(r.target, r.flight, time.Since(t.start))
+	c, err := t.state.serverCrashed(r.target, r.request, time.Since(t.start))
 	if err != nil {
 		t.opts.Log.Error(err, "crash can't be counted", "server", r.target.Server, "incarnation", r.target.Incarnation)
 	}
 	if c == nil || t.opts.Reporter == nil {
 		return
 	}
-	if t.reports >= maxReports {
+	if t.pendingReports >= maxReports {
 		reportsDropped.Inc()
 		t.opts.Log.Info("crash not reported to the control VMs", "server", c.GetServer(), "incarnation", c.GetServerIncarnation(),
 			"reason", "too many reports wait")
 		return
 	}
-	t.reports++
+	t.pendingReports++
 	go t.report(c)
 }
 
@@ -107,91 +110,91 @@
 	crashesReported.Inc()
 	ctx, cancel := context.WithTimeout(context.Background(), trackerReportTimeout)
 	defer cancel()
-	res, err := persist(ctx, trackerMostPause, func() (*daisyhatchv1.CrashResult, error) { return t.opts.Reporter.ReportCrash(ctx, c) })
+	res, err := retryWithBackoff(ctx, trackerMaxBackoff, func() (*daisyhatchv1.CrashResult, error) { return t.opts.Reporter.ReportCrash(ctx, c) })
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.reports--
+	t.pendingReports--
 	if err != nil {
 		reportsFailed.Inc()
 		t.opts.Log.Error(err, "crash not reported to the control VMs", "server", c.GetServer(), "incarnation", c.GetServerIncarnation())
 		return
 	}
-	t.memory.committed(c, res, time.Since(t.start))
-	var again []string
+	t.state.applyReportResult(c, res, time.Since(t.start))
+	var repeatSuspects []string
 	for _, s := range res.GetSuspects() {
 		if s.GetCrashes() >= suspects.SharedCrashes {
-			again = append(again, fmt.Sprintf("%s:%d", hex(s.GetFingerprint()), s.GetCrashes()))
+			repeatSuspects = append(repeatSuspects, fmt.Sprintf("%s:%d", formatFingerprint(s.GetFingerprint()), s.GetCrashes()))
 		}
 	}
 	t.opts.Log.Info("server ended under requests", "server", c.GetServer(), "incarnation", c.GetServerIncarnation(),
-		"requests", len(c.GetFingerprints()), "suspects", again, "list", res.GetVersion())
+		"requests", len(c.GetFingerprints()), "suspects", repeatSuspects, "list", res.GetVersion())
 }
 
-// Served notes that a request was served, which clears it on all VMs.
+// Served records that a request was served, which clears it on all VMs.
 func (t *Tracker) Served(fingerprint uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.memory.serve(fingerprint, time.Since(t.start)) {
-		t.tellServed([]uint64{fingerprint})
+	if t.state.markServed(fingerprint, time.Since(t.start)) {
+		t.shareServed([]uint64{fingerprint})
 	}
 }
 
-// tellServed tells the other VMs of suspects that were served; t.mu is held.
-func (t *Tracker) tellServed(fingerprints []uint64) {
-	if len(fingerprints) == 0 || t.opts.Reporter == nil || t.reports >= maxReports {
+// shareServed reports suspects that were served to the control VMs in the background; t.mu must be held.
+func (t *Tracker) shareServed(fingerprints []uint64) {
+	if len(fingerprints) == 0 || t.opts.Reporter == nil || t.pendingReports >= maxReports {
 		return
 	}
-	t.reports++
+	t.pendingReports++
 	go t.clear(fingerprints)
 }
 
 func (t *Tracker) clear(fingerprints []uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), clearTimeout)
 	defer cancel()
-	_, err := persist(ctx, trackerMostPause, func() (struct{}, error) {
+	_, err := retryWithBackoff(ctx, trackerMaxBackoff, func() (struct{}, error) {
 		return struct{}{}, t.opts.Clear(ctx, fingerprints)
 	})
 	for _, f := range fingerprints {
 		suspectsCleared.Inc()
-		t.opts.Log.Info("suspect was served", "fingerprint", hex(f), "shared", err == nil)
+		t.opts.Log.Info("suspect was served", "fingerprint", formatFingerprint(f), "shared", err == nil)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.reports--
+	t.pendingReports--
 }
 
-// Learn takes over the list of suspects of a version from a control VM; older ones change nothing.
+// Learn applies a control VM's list of suspects of the given version. It ignores lists older than the latest one.
 func (t *Tracker) Learn(version uint64, list []*daisyhatchv1.Suspect) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := t.memory.learn(version, list, time.Since(t.start))
-	t.tellServed(n.served)
+	n := t.state.applyList(version, list, time.Since(t.start))
+	t.shareServed(n.served)
 	for _, f := range n.convicted {
-		convictedKnown.Inc()
-		t.opts.Log.Info("request is refused from now on", "fingerprint", hex(f), "crashes", t.memory.crashCount(f), "list", version)
+		convictionsLearned.Inc()
+		t.opts.Log.Info("request is refused from now on", "fingerprint", formatFingerprint(f), "crashes", t.state.crashCount(f), "list", version)
 	}
 	for _, f := range n.cleared {
-		t.opts.Log.Info("request is not refused any more", "fingerprint", hex(f), "list", version)
+		t.opts.Log.Info("request is not refused any more", "fingerprint", formatFingerprint(f), "list", version)
 	}
 }
 
-// Refused returns when a request under which too many servers ended may come back; false when it may run.
+// Refused returns how long a request is still refused, at least a second; false when it may run.
 func (t *Tracker) Refused(fingerprint uint64) (time.Duration, bool) {
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	left, ok := t.memory.convicted(fingerprint, now.Sub(t.start), now.UnixMilli())
+	left, ok := t.state.refusedFor(fingerprint, now.Sub(t.start), now.UnixMilli())
 	if !ok {
 		return 0, false
 	}
-	return max(left, leastRefusal), true
+	return max(left, minRefusal), true
 }
 
-// Crashes returns how many crashes count against a request, as far as this VM knows.
+// Crashes returns how many crashes this VM knows to count against a request.
 func (t *Tracker) Crashes(fingerprint uint64) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.memory.crashCount(fingerprint)
+	return t.state.crashCount(fingerprint)
 }
 
-func hex(fingerprint uint64) string { return strconv.FormatUint(fingerprint, 16) }
+func formatFingerprint(fingerprint uint64) string { return strconv.FormatUint(fingerprint, 16) }
