--- a/pkg/quarantine/tracker.go
+++ b/pkg/quarantine/tracker.go
@@ -66,7 +66,7 @@
 type Run struct {
 	tracker *Tracker
 	target  engine.Target
-	request  runningRequest
+	request runningRequest
 }
 
 // Begin records that a request starts on a server. Call End on the result when the request is no longer there.
