--- a/pkg/publication/compress.go
+++ b/pkg/publication/compress.go
@@ -8,20 +8,20 @@
 	"io"
 )
 
-// ErrCompressed means that a compressed configuration can't be read or is too large.
+// ErrCompressed means that a compressed configuration can't be read or is larger than MaxText.
 var ErrCompressed = errors.New("publication: compressed configuration can't be read")
 
-// Compress returns text as gzip.
+// Compress returns text in gzip format.
 func Compress(text []byte) []byte {
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
-	// Writes to a buffer don't fail.
+	// Writing to a bytes.Buffer doesn't fail.
 	_, _ = w.Write(text)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// Decompress reads what Compress made, up to MaxText bytes. It returns ErrCompressed otherwise.
+// Decompress returns the text of a gzip stream of at most MaxText bytes uncompressed. Otherwise it returns ErrCompressed.
 func Decompress(data []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
@@ -32,7 +32,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrCompressed, err)
 	}
 	if len(text) > MaxText {
-		return nil, fmt.Errorf("%w: more than %d bytes", ErrCompressed, MaxText)
+		return nil, fmt.Errorf("%w: text is larger than %d bytes", ErrCompressed, MaxText)
 	}
 	return text, nil
 }
--- a/pkg/publication/delta.go
+++ b/pkg/publication/delta.go
@@ -8,10 +8,10 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// ErrDelta means that a delta doesn't fit the text that it is applied to.
+// ErrDelta means that a delta reaches beyond the text that it is applied to.
 var ErrDelta = errors.New("publication: delta does not fit its base")
 
-// Diff returns the delta that makes text from base.
+// Diff returns the delta that turns base into text: the lengths of the common prefix and suffix, and the bytes between.
 func Diff(baseVersion uint64, base, text []byte) *daisyhatchv1.ConfigurationDelta {
 	prefix := commonPrefix(base, text)
 	suffix := commonSuffix(base[prefix:], text[prefix:])
@@ -27,7 +27,7 @@
 func Patch(base []byte, d *daisyhatchv1.ConfigurationDelta) ([]byte, error) {
 	size := uint64(len(base))
 	if d.GetPrefix() > size || d.GetSuffix() > size-d.GetPrefix() {
-		return nil, fmt.Errorf("%w: %d+%d bytes of %d", ErrDelta, d.GetPrefix(), d.GetSuffix(), size)
+		return nil, fmt.Errorf("%w: prefix of %d and suffix of %d bytes, base of %d bytes", ErrDelta, d.GetPrefix(), d.GetSuffix(), size)
 	}
 	out := make([]byte, 0, d.GetPrefix()+d.GetSuffix()+uint64(len(d.GetMiddle())))
 	out = append(out, base[:d.GetPrefix()]...)
--- a/pkg/publication/publication.go
+++ b/pkg/publication/publication.go
@@ -1,5 +1,6 @@
-// Package publication decides which configuration is in force: one version after the other by compare-and-set,
-// with change IDs that give a resent change its first outcome. It is pure and deterministic.
+// Package publication decides which configuration is in force. Each change names the version it is based on and is
+// accepted only if that is the version in force (compare-and-set). A change that is sent again under its change ID gets
+// its first outcome. The package does no I/O and is deterministic.
 package publication
 
 import (
@@ -16,29 +17,28 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// Errors of this package.
 var (
 	// ErrCommand means that a command is malformed; nothing was changed.
 	ErrCommand = errors.New("publication: malformed command")
-	// ErrNoVersion means that the version is unknown or its text is no longer kept.
-	ErrNoVersion = errors.New("publication: version not kept")
-	// ErrSnapshot means that a snapshot contradicts itself.
+	// ErrNoVersion means that the version is unknown or its text is no longer stored.
+	ErrNoVersion = errors.New("publication: version not stored")
+	// ErrSnapshot means that a snapshot is inconsistent.
 	ErrSnapshot = errors.New("publication: bad snapshot")
 )
 
-// Limits of the state, equal on all VMs.
+// Limits of the replicated state, which must be equal on all VMs.
 const (
-	// MaxChanges is the count of change IDs whose first outcome is kept.
+	// MaxChanges is the number of change IDs whose first outcome is stored.
 	MaxChanges = 10_000
-	// MaxHistory is the count of versions whose operator, time and reason are kept.
+	// MaxHistory is the number of versions whose operator, time and reason are stored.
 	MaxHistory = 10_000
-	// MaxDeltas is the count of old versions whose text is kept.
+	// MaxDeltas is the number of old versions whose text can be rebuilt.
 	MaxDeltas = 1_000
-	// MaxDeltaBytes is the size in bytes of all kept deltas.
+	// MaxDeltaBytes is the total size in bytes of the stored deltas.
 	MaxDeltaBytes = 2 << 20
-	// MaxText is the largest configuration in bytes.
+	// MaxText is the size in bytes of the largest configuration.
 	MaxText = 8 << 20
-	// MaxChangeID, MaxOperator and MaxReason are sizes in bytes.
+	// MaxChangeID, MaxOperator and MaxReason are the largest sizes in bytes of these fields of a change.
 	MaxChangeID = 128
 	MaxOperator = 128
 	MaxReason   = 1 << 10
@@ -52,12 +52,13 @@
 	deltaBytes int
 	changes    []*daisyhatchv1.ChangeRecord
 	byID       map[string]*daisyhatchv1.ChangeRecord
-	// forgotten is above the base version of every forgotten change.
-	forgotten uint64
-	limits    limits
+	// A change with an unknown ID and a base version below expiredBase is refused: it may be a resent change whose
+	// record was dropped.
+	expiredBase uint64
+	limits      limits
 }
 
-// limits bound the memory of a Publication.
+// limits bound the size of a Publication.
 type limits struct {
 	changes    int
 	history    int
@@ -65,7 +66,7 @@
 	deltaBytes int
 }
 
-func standardLimits() limits {
+func defaultLimits() limits {
 	return limits{changes: MaxChanges, history: MaxHistory, deltas: MaxDeltas, deltaBytes: MaxDeltaBytes}
 }
 
@@ -74,27 +75,28 @@
 	return &Publication{
 		inForce: &daisyhatchv1.ConfigurationVersion{},
 		byID:    make(map[string]*daisyhatchv1.ChangeRecord),
-		limits:  standardLimits(),
+		limits:  defaultLimits(),
 	}
 }
 
-// Publish applies one change at replicated time nowMs. It returns ErrCommand for a malformed command.
+// Publish applies one change at the replicated time nowMs, in Unix milliseconds. A change that is not accepted is
+// reported in the result's outcome. It returns ErrCommand for a malformed command.
 func (p *Publication) Publish(c *daisyhatchv1.PublishCommand, nowMs int64) (*daisyhatchv1.PublishResult, error) {
 	if err := checkFields(c); err != nil {
 		return nil, err
 	}
 	content := contentHash(c)
 	if first, ok := p.byID[c.GetChangeId()]; ok {
-		return p.resent(first, content), nil
+		return p.resendResult(first, content), nil
 	}
-	if c.GetBaseVersion() < p.forgotten {
+	if c.GetBaseVersion() < p.expiredBase {
 		return p.refusal(daisyhatchv1.PublishOutcome_PUBLISH_OUTCOME_CHANGE_ID_EXPIRED), nil
 	}
-	result, err := p.decide(c, nowMs)
+	result, err := p.compareAndSet(c, nowMs)
 	if err != nil {
 		return nil, err
 	}
-	p.remember(&daisyhatchv1.ChangeRecord{
+	p.recordChange(&daisyhatchv1.ChangeRecord{
 		ChangeId:    c.GetChangeId(),
 		Content:     content,
 		BaseVersion: c.GetBaseVersion(),
@@ -103,11 +105,11 @@
 	return proto.CloneOf(result), nil
 }
 
-func (p *Publication) decide(c *daisyhatchv1.PublishCommand, nowMs int64) (*daisyhatchv1.PublishResult, error) {
+func (p *Publication) compareAndSet(c *daisyhatchv1.PublishCommand, nowMs int64) (*daisyhatchv1.PublishResult, error) {
 	if c.GetBaseVersion() != p.inForce.GetVersion() {
 		return p.refusal(daisyhatchv1.PublishOutcome_PUBLISH_OUTCOME_CONFLICT), nil
 	}
-	text, err := p.text(c)
+	text, err := p.newText(c)
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +122,7 @@
 	}, nil
 }
 
-func (p *Publication) resent(first *daisyhatchv1.ChangeRecord, content []byte) *daisyhatchv1.PublishResult {
+func (p *Publication) resendResult(first *daisyhatchv1.ChangeRecord, content []byte) *daisyhatchv1.PublishResult {
 	if !bytes.Equal(first.GetContent(), content) {
 		return p.refusal(daisyhatchv1.PublishOutcome_PUBLISH_OUTCOME_CHANGE_ID_REUSED)
 	}
@@ -129,7 +131,7 @@
 	return r
 }
 
-// refusal names the version in force and who made it.
+// refusal returns a result with the given outcome, the version in force and who published that.
 func (p *Publication) refusal(o daisyhatchv1.PublishOutcome) *daisyhatchv1.PublishResult {
 	return &daisyhatchv1.PublishResult{
 		Outcome:  o,
@@ -139,7 +141,7 @@
 	}
 }
 
-func (p *Publication) text(c *daisyhatchv1.PublishCommand) ([]byte, error) {
+func (p *Publication) newText(c *daisyhatchv1.PublishCommand) ([]byte, error) {
 	text := c.GetConfiguration()
 	if d := c.GetDelta(); d != nil {
 		patched, err := Patch(p.inForce.GetConfiguration(), d)
@@ -147,7 +149,7 @@
 			return nil, fmt.Errorf("%w: %w", ErrCommand, err)
 		}
 		if sum := sha256.Sum256(patched); !bytes.Equal(sum[:], c.GetConfigurationSha256()) {
-			return nil, fmt.Errorf("%w: the delta makes another text than its checksum says", ErrCommand)
+			return nil, fmt.Errorf("%w: the patched configuration does not match its SHA-256 checksum", ErrCommand)
 		}
 		text = patched
 	}
@@ -168,16 +170,16 @@
 	if len(p.history) > p.limits.history {
 		p.history = p.history[1:]
 	}
-	back := Diff(p.inForce.GetVersion(), text, old.GetConfiguration())
-	p.deltas = append(p.deltas, back)
-	p.deltaBytes += len(back.GetMiddle())
+	reverse := Diff(p.inForce.GetVersion(), text, old.GetConfiguration())
+	p.deltas = append(p.deltas, reverse)
+	p.deltaBytes += len(reverse.GetMiddle())
 	for len(p.deltas) > 0 && (len(p.deltas) > p.limits.deltas || p.deltaBytes > p.limits.deltaBytes) {
 		p.deltaBytes -= len(p.deltas[0].GetMiddle())
 		p.deltas = p.deltas[1:]
 	}
 }
 
-func (p *Publication) remember(r *daisyhatchv1.ChangeRecord) {
+func (p *Publication) recordChange(r *daisyhatchv1.ChangeRecord) {
 	p.changes = append(p.changes, r)
 	p.byID[r.GetChangeId()] = r
 	if len(p.changes) <= p.limits.changes {
@@ -186,14 +188,15 @@
 	oldest := p.changes[0]
 	p.changes = p.changes[1:]
 	delete(p.byID, oldest.GetChangeId())
-	// A forgotten change made from this base or an older one can't be told from a new change.
-	p.forgotten = max(p.forgotten, min(oldest.GetBaseVersion()+1, p.inForce.GetVersion()))
+	// A resent change whose record was dropped can't be told from a new one, so unknown IDs are refused from now on with
+	// this base version or an older one, unless it is the version in force.
+	p.expiredBase = max(p.expiredBase, min(oldest.GetBaseVersion()+1, p.inForce.GetVersion()))
 }
 
-// InForce returns the version in force. The caller must not change it.
+// InForce returns the version in force. The caller must not modify it.
 func (p *Publication) InForce() *daisyhatchv1.ConfigurationVersion { return p.inForce }
 
-// History returns up to limit versions without text, newest first.
+// History returns up to limit versions without their text, newest first.
 func (p *Publication) History(limit int) []*daisyhatchv1.ConfigurationVersion {
 	n := min(limit, len(p.history))
 	out := make([]*daisyhatchv1.ConfigurationVersion, 0, n)
@@ -203,7 +206,7 @@
 	return out
 }
 
-// Version returns a version with its text. It returns ErrNoVersion when the text is not kept.
+// Version returns a version with its text. It returns ErrNoVersion when the text is not stored.
 func (p *Publication) Version(version uint64) (*daisyhatchv1.ConfigurationVersion, error) {
 	past, err := p.Past(version)
 	if err != nil {
@@ -212,15 +215,17 @@
 	return past.Configuration()
 }
 
-// Past is all that is needed to make an old version's text. It stays valid while the Publication changes.
+// Past holds what is needed to rebuild the text of a version later. It stays valid while the
+// Publication changes.
 type Past struct {
 	meta *daisyhatchv1.ConfigurationVersion
-	// text is that of the version in force when the Past was taken; deltas lead back from it, the last one first.
+	// text is the configuration that was in force when this was taken. The deltas lead from it to older texts, the last
+	// one first.
 	text   []byte
 	deltas []*daisyhatchv1.ConfigurationDelta
 }
 
-// Past returns an old version without making its text yet. It returns ErrNoVersion when the text is not kept.
+// Past returns a version without rebuilding its text. It returns ErrNoVersion when the text is not stored.
 func (p *Publication) Past(version uint64) (Past, error) {
 	current := p.inForce.GetVersion()
 	if version == current {
@@ -237,7 +242,7 @@
 	}, nil
 }
 
-// Configuration makes the version with its text.
+// Configuration rebuilds the text and returns the version with it.
 func (p Past) Configuration() (*daisyhatchv1.ConfigurationVersion, error) {
 	text := p.text
 	for _, d := range slices.Backward(p.deltas) {
@@ -252,18 +257,18 @@
 	return v, nil
 }
 
-// Snapshot returns the state. The caller must encode it before the next Publish.
+// Snapshot returns the state, which shares memory with p: the caller must encode it before the next Publish.
 func (p *Publication) Snapshot() *daisyhatchv1.PublicationSnapshot {
 	return &daisyhatchv1.PublicationSnapshot{
 		InForce:       p.inForce,
 		History:       p.history,
 		Deltas:        p.deltas,
 		Changes:       p.changes,
-		ForgottenBase: p.forgotten,
+		ForgottenBase: p.expiredBase,
 	}
 }
 
-// Restore returns the state of a snapshot. It returns ErrSnapshot when the snapshot contradicts itself.
+// Restore returns a Publication with the state of a snapshot. It returns ErrSnapshot when the snapshot is inconsistent.
 func Restore(s *daisyhatchv1.PublicationSnapshot) (*Publication, error) {
 	p := New()
 	if s.GetInForce() != nil {
@@ -272,9 +277,9 @@
 	p.history = s.GetHistory()
 	p.deltas = s.GetDeltas()
 	p.changes = s.GetChanges()
-	p.forgotten = s.GetForgottenBase()
+	p.expiredBase = s.GetForgottenBase()
 	if n := len(p.history); n > 0 && p.history[n-1].GetVersion() != p.inForce.GetVersion() {
-		return nil, fmt.Errorf("%w: history ends at another version than the one in force", ErrSnapshot)
+		return nil, fmt.Errorf("%w: the last version in the history is not the version in force", ErrSnapshot)
 	}
 	if len(p.history) > MaxHistory || len(p.deltas) > MaxDeltas || len(p.changes) > MaxChanges {
 		return nil, fmt.Errorf("%w: more records than the limits allow", ErrSnapshot)
@@ -284,14 +289,14 @@
 	}
 	for _, r := range p.changes {
 		if _, ok := p.byID[r.GetChangeId()]; ok {
-			return nil, fmt.Errorf("%w: change ID %q twice", ErrSnapshot, r.GetChangeId())
+			return nil, fmt.Errorf("%w: change ID %q appears twice", ErrSnapshot, r.GetChangeId())
 		}
 		p.byID[r.GetChangeId()] = r
 	}
 	return p, nil
 }
 
-// WithoutText returns a copy of a version that leaves the text out.
+// WithoutText returns a copy of a version without its text.
 func WithoutText(v *daisyhatchv1.ConfigurationVersion) *daisyhatchv1.ConfigurationVersion {
 	return &daisyhatchv1.ConfigurationVersion{
 		Version:        v.GetVersion(),
@@ -307,28 +312,29 @@
 	case c.GetChangeId() == "" || len(c.GetChangeId()) > MaxChangeID:
 		return fmt.Errorf("%w: the change ID must have 1 to %d bytes", ErrCommand, MaxChangeID)
 	case len(c.GetOperator()) > MaxOperator:
-		return fmt.Errorf("%w: the operator's name is above %d bytes", ErrCommand, MaxOperator)
+		return fmt.Errorf("%w: the operator's name is longer than %d bytes", ErrCommand, MaxOperator)
 	case len(c.GetReason()) > MaxReason:
-		return fmt.Errorf("%w: the reason is above %d bytes", ErrCommand, MaxReason)
+		return fmt.Errorf("%w: the reason is longer than %d bytes", ErrCommand, MaxReason)
 	}
 	return nil
 }
 
-// checkText holds on every release of the software, so that all VMs accept the same texts during an upgrade. The
-// full check happens before a change is proposed.
+// checkText must give the same verdict in every release of the software, so that all VMs accept the same texts during an
+// upgrade. The full check of a configuration is made before a change is proposed.
 func checkText(text []byte) error {
 	switch {
 	case len(text) == 0:
 		return fmt.Errorf("%w: the configuration is empty", ErrCommand)
 	case len(text) > MaxText:
-		return fmt.Errorf("%w: the configuration is above %d bytes", ErrCommand, MaxText)
+		return fmt.Errorf("%w: the configuration is larger than %d bytes", ErrCommand, MaxText)
 	case !utf8.Valid(text) || bytes.IndexByte(text, 0) >= 0:
-		return fmt.Errorf("%w: the configuration is not text", ErrCommand)
+		return fmt.Errorf("%w: the configuration is not UTF-8 text without NUL bytes", ErrCommand)
 	}
 	return nil
 }
 
-// contentHash covers what makes two changes the same: operator, base, reason and the whole new text.
+// contentHash returns a hash of all that two sendings of one change have in common: operator, base version, reason and the
+// complete new text.
 func contentHash(c *daisyhatchv1.PublishCommand) []byte {
 	h := sha256.New()
 	text := sha256.Sum256(c.GetConfiguration())
--- a/pkg/publication/publication_test.go
+++ b/pkg/publication/publication_test.go
@@ -15,7 +15,7 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict. A seed on the command line stands.
+// TestMain sets a fixed seed for rapid, so that every run tests the same cases. A seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261204"); err != nil {
 		panic(err)
@@ -36,24 +36,24 @@
 
 var smallLimits = limits{changes: 6, history: 5, deltas: 3, deltaBytes: 40}
 
-// oracle remembers everything for ever.
+// oracle is a reference model of Publication that never drops anything.
 type oracle struct {
 	versions []*daisyhatchv1.ConfigurationVersion
-	first    map[string]*daisyhatchv1.PublishResult
-	sent     map[string]*daisyhatchv1.PublishCommand
+	results  map[string]*daisyhatchv1.PublishResult
+	commands map[string]*daisyhatchv1.PublishCommand
 }
 
 func (o *oracle) current() uint64 { return uint64(len(o.versions)) }
 
-// expect returns what a change must be answered with while the change ID is remembered.
+// expect returns the result that a change must get while its change ID is stored.
 func (o *oracle) expect(c *daisyhatchv1.PublishCommand) *daisyhatchv1.PublishResult {
 	refusal := &daisyhatchv1.PublishResult{Outcome: conflict, Version: o.current()}
 	if o.current() > 0 {
 		refusal.Operator = o.versions[o.current()-1].GetOperator()
 		refusal.ChangeId = o.versions[o.current()-1].GetChangeId()
 	}
-	if first, ok := o.first[c.GetChangeId()]; ok {
-		if !proto.Equal(o.sent[c.GetChangeId()], c) {
+	if first, ok := o.results[c.GetChangeId()]; ok {
+		if !proto.Equal(o.commands[c.GetChangeId()], c) {
 			refusal.Outcome = reused
 			return refusal
 		}
@@ -69,12 +69,12 @@
 	}
 }
 
-func (o *oracle) note(c *daisyhatchv1.PublishCommand, r *daisyhatchv1.PublishResult) {
+func (o *oracle) record(c *daisyhatchv1.PublishCommand, r *daisyhatchv1.PublishResult) {
 	if r.GetResent() || (r.GetOutcome() != accepted && r.GetOutcome() != conflict) {
 		return
 	}
-	o.first[c.GetChangeId()] = r
-	o.sent[c.GetChangeId()] = c
+	o.results[c.GetChangeId()] = r
+	o.commands[c.GetChangeId()] = c
 	if r.GetOutcome() == accepted {
 		o.versions = append(o.versions, &daisyhatchv1.ConfigurationVersion{
 			Version: r.GetVersion(), ChangeId: c.GetChangeId(), Operator: c.GetOperator(), Reason: c.GetReason(),
@@ -83,15 +83,15 @@
 	}
 }
 
-func change(t *rapid.T, o *oracle) *daisyhatchv1.PublishCommand {
+func drawChange(t *rapid.T, o *oracle) *daisyhatchv1.PublishCommand {
 	var ids []string
 	for i := range 40 {
-		if id := fmt.Sprint("id", i); o.sent[id] != nil {
+		if id := fmt.Sprint("id", i); o.commands[id] != nil {
 			ids = append(ids, id)
 		}
 	}
 	if len(ids) > 0 && rapid.IntRange(0, 2).Draw(t, "resend") == 0 {
-		c := proto.CloneOf(o.sent[rapid.SampledFrom(ids).Draw(t, "id")])
+		c := proto.CloneOf(o.commands[rapid.SampledFrom(ids).Draw(t, "id")])
 		if rapid.IntRange(0, 3).Draw(t, "other content") == 0 {
 			c.Reason += "x"
 		}
@@ -106,40 +106,41 @@
 	}
 }
 
-// Racing and resending operators, restarts from snapshots, and forgetting: answers are those of an oracle that never
-// forgets, or say that the ID is too old; nothing is ever accepted twice.
+// Operators send competing changes and send them again, while the Publication restarts from snapshots and drops old
+// records. Its answers must be those of a model that never drops anything, or say that the change ID is too old, and no
+// change may be accepted twice.
 func TestAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New()
 		p.limits = smallLimits
-		o := &oracle{first: make(map[string]*daisyhatchv1.PublishResult), sent: make(map[string]*daisyhatchv1.PublishCommand)}
+		o := &oracle{results: make(map[string]*daisyhatchv1.PublishResult), commands: make(map[string]*daisyhatchv1.PublishCommand)}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			c := change(t, o)
+			c := drawChange(t, o)
 			_, known := p.byID[c.GetChangeId()]
 			got, err := p.Publish(c, 0)
 			require.NoError(t, err)
-			if !known && proto.Equal(o.sent[c.GetChangeId()], c) {
-				require.Equal(t, o.current(), p.InForce().GetVersion(), "a forgotten change was accepted again")
+			if !known && proto.Equal(o.commands[c.GetChangeId()], c) {
+				require.Equal(t, o.current(), p.InForce().GetVersion(), "a change whose record was dropped was accepted again")
 				require.Contains(t, []daisyhatchv1.PublishOutcome{expired, conflict}, got.GetOutcome())
 			} else if got.GetOutcome() != expired {
 				if !known {
-					delete(o.first, c.GetChangeId())
+					delete(o.results, c.GetChangeId())
 				}
 				want := o.expect(c)
 				require.True(t, proto.Equal(want, got), "want %v\n got %v", want, got)
-				o.note(c, got)
+				o.record(c, got)
 			} else {
 				require.Greater(t, o.current(), c.GetBaseVersion())
 			}
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
-				p = reload(t, p)
+				p = restartFromSnapshot(t, p)
 			}
 			checkVersions(t, p, o)
 		}
 	})
 }
 
-func reload(t *rapid.T, p *Publication) *Publication {
+func restartFromSnapshot(t *rapid.T, p *Publication) *Publication {
 	data, err := proto.Marshal(p.Snapshot())
 	require.NoError(t, err)
 	s := &daisyhatchv1.PublicationSnapshot{}
@@ -170,10 +171,10 @@
 		require.True(t, proto.Equal(want, v), "want %v got %v", want, v)
 	}
 	require.GreaterOrEqual(t, kept, min(len(o.versions), 1+len(p.deltas)))
-	require.True(t, kept == len(o.versions) || kept > smallLimits.deltas || p.deltaBytes > smallLimits.deltaBytes-14, "kept %d of %d", kept, len(o.versions))
+	require.True(t, kept == len(o.versions) || kept > smallLimits.deltas || p.deltaBytes > smallLimits.deltaBytes-14, "text stored for %d of %d versions", kept, len(o.versions))
 }
 
-func TestDeltasMakeTheText(t *testing.T) {
+func TestPatchReversesDiff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOf(rapid.SampledFrom([]byte("ab"))).Draw(t, "base")
 		text := rapid.SliceOf(rapid.SampledFrom([]byte("ab"))).Draw(t, "text")
@@ -201,12 +202,12 @@
 	whole := &daisyhatchv1.PublishCommand{ChangeId: "2", BaseVersion: 1, Configuration: text}
 	r, err = p.Publish(whole, 1)
 	require.NoError(t, err)
-	require.True(t, r.GetResent(), "the same change sent whole is the same change")
+	require.True(t, r.GetResent(), "a change resent with its full text instead of a delta must be recognised")
 	_, err = p.Publish(&daisyhatchv1.PublishCommand{ChangeId: "3", BaseVersion: 2, Configuration: []byte("A longer text")}, 1)
 	require.NoError(t, err)
 	c = proto.CloneOf(c)
 	c.ChangeId, c.BaseVersion = "4", 3
 	_, err = p.Publish(c, 1)
-	require.ErrorIs(t, err, ErrCommand, "a delta against another text is refused")
+	require.ErrorIs(t, err, ErrCommand, "a delta for another base text must be refused")
 	require.EqualValues(t, 3, p.InForce().GetVersion())
 }
