--- a/pkg/quarantine/confirm.go
+++ b/pkg/quarantine/confirm.go
@@ -10,9 +10,9 @@
 
 const (
 	// maxListAge is how long after the list of suspects was requested requests may still start on its basis. A Source may
-	// miss what was committed in the 100 ms before the request; the sum is DefaultSpread, so that no VM starts a suspect
+	// miss what was committed in the 100 ms before the request; the sum is DefaultPropagationDelay, so that no VM starts a suspect
 	// unknowingly once its retry begins.
-	maxListAge = DefaultSpread - 100*time.Millisecond
+	maxListAge = DefaultPropagationDelay - 100*time.Millisecond
 	// ConfirmAgain is the age at which the list is refreshed in the background while requests keep starting.
 	ConfirmAgain = maxListAge * 3 / 4
 	// refreshTimeout bounds one request for the list.
--- a/pkg/quarantine/confirm_test.go
+++ b/pkg/quarantine/confirm_test.go
@@ -46,7 +46,7 @@
 		require.NoError(t, q.Confirm(t.Context()))
 		s.disconnected = true
 		s.list = []*daisyhatchv1.Suspect{newSuspect(1, suspect, time.Minute)}
-		time.Sleep(quarantine.DefaultSpread)
+		time.Sleep(quarantine.DefaultPropagationDelay)
 		err := apierr.From(q.Confirm(t.Context()))
 		require.Equal(t, apierr.NoCapacity, err.Code)
 		require.Equal(t, apierr.NotRun, err.Run)
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -30,9 +30,9 @@
 	reportMaxBackoff     = 200 * time.Millisecond
 )
 
-// DefaultSpread is the time after the commit of a crash report by which every entry VM either knows of the crash or
+// DefaultPropagationDelay is the time after the commit of a crash report by which every entry VM either knows of the crash or
 // starts no requests.
-const DefaultSpread = 500 * time.Millisecond
+const DefaultPropagationDelay = 500 * time.Millisecond
 
 var (
 	crashesReported    = metrics.NewCounter("daisyhatch_quarantine_crashes_reported_total")
@@ -55,9 +55,9 @@
 	// Ledger keeps a suspect from running on two VMs at once; nil disables this.
 	Ledger dispatch.Ledger
 	Log    logr.Logger
-	// Spread is how long the retry of a suspect waits after its crash report was committed, so that no other entry VM
-	// starts the same request without knowing that it is a suspect. 0 means DefaultSpread.
-	Spread time.Duration
+	// PropagationDelay is how long the retry of a suspect waits after its crash report was committed, so that no other entry VM
+	// starts the same request without knowing that it is a suspect. 0 means DefaultPropagationDelay.
+	PropagationDelay time.Duration
 	// Now returns the wall-clock time, by which suspicions expire; nil means time.Now.
 	Now func() time.Time
 }
@@ -81,8 +81,8 @@
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	if o.Spread <= 0 {
-		o.Spread = DefaultSpread
+	if o.PropagationDelay <= 0 {
+		o.PropagationDelay = DefaultPropagationDelay
 	}
 	return &Quarantine{opts: o, state: newState()}
 }
@@ -182,7 +182,7 @@
 // waitForPropagation waits until the other entry VMs know of a committed crash report. It isn't needed after the crash of
 // a suspect that ran alone, since no other VM can claim that suspect.
 func (q *Quarantine) waitForPropagation(ctx context.Context) {
-	t := time.NewTimer(q.opts.Spread)
+	t := time.NewTimer(q.opts.PropagationDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
