--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -56,7 +56,7 @@
 func asksPerS() float64 { return 1 / askEvery.Seconds() }
 
 // listsPerS is how often an entry VM asks for the list of suspects.
-func listsPerS() float64 { return 1 / quarantine.ConfirmAgain.Seconds() }
+func listsPerS() float64 { return 1 / quarantine.ListRefreshAge.Seconds() }
 
 // heldPerGrantor is the most grants that one entry VM has of one grantor: calls in flight with the margin asked for.
 func heldPerGrantor() float64 {
--- a/pkg/quarantine/confirm.go
+++ b/pkg/quarantine/confirm.go
@@ -13,8 +13,8 @@
 	// miss what was committed in the 100 ms before the request; the sum is DefaultPropagationDelay, so that no VM starts a suspect
 	// unknowingly once its retry begins.
 	maxListAge = DefaultPropagationDelay - 100*time.Millisecond
-	// ConfirmAgain is the age at which the list is refreshed in the background while requests keep starting.
-	ConfirmAgain = maxListAge * 3 / 4
+	// ListRefreshAge is the age at which the list is refreshed in the background while requests keep starting.
+	ListRefreshAge = maxListAge * 3 / 4
 	// refreshTimeout bounds one request for the list.
 	refreshTimeout = 600 * time.Millisecond
 	// unconfirmedRetryAfter is the Retry-After time sent to a caller whose request was refused for lack of a fresh list.
@@ -51,12 +51,12 @@
 }
 
 // refreshIfStale returns the list request to wait for; nil while the list is fresh. It starts a refresh in the background
-// once the list is older than ConfirmAgain, before requests have to wait for it.
+// once the list is older than ListRefreshAge, before requests have to wait for it.
 func (q *Quarantine) refreshIfStale() *listRefresh {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	age := time.Since(q.confirmedAt)
-	if age > ConfirmAgain && q.refreshing == nil {
+	if age > ListRefreshAge && q.refreshing == nil {
 		q.refreshing = &listRefresh{done: make(chan struct{})}
 		go q.refresh(q.refreshing)
 	}
--- a/pkg/quarantine/confirm_test.go
+++ b/pkg/quarantine/confirm_test.go
@@ -70,7 +70,7 @@
 			require.NoError(t, q.Confirm(t.Context()))
 		}
 		require.Equal(t, 10*time.Second, time.Since(startTime), "no request may wait for the list")
-		require.LessOrEqual(t, s.calls, int(10*time.Second/quarantine.ConfirmAgain)+1)
+		require.LessOrEqual(t, s.calls, int(10*time.Second/quarantine.ListRefreshAge)+1)
 	})
 }
 
