--- a/pkg/quarantine/tracker_state.go
+++ b/pkg/quarantine/tracker_state.go
@@ -13,10 +13,10 @@
 const (
 	// maxServed bounds the fingerprints kept of recently served requests; it covers minutes of one VM's requests.
 	maxServed = 4096
-	// SettleTime is how long after the end of one server the end of another may still have the same cause: the lost servers
+	// CommonCauseWindow is how long after the end of one server the end of another may still have the same cause: the lost servers
 	// of a failure domain are detected one after the other, each by the retry of a request that the one before lost.
-	SettleTime = 100 * time.Millisecond
-	// maxCountTimes is the size of trackerState.lastCounted above which entries older than SettleTime are dropped.
+	CommonCauseWindow = 100 * time.Millisecond
+	// maxCountTimes is the size of trackerState.lastCounted above which entries older than CommonCauseWindow are dropped.
 	maxCountTimes = 1024
 	// servedGracePeriod is how long after it was served a request is not suspected, whatever the list says: other VMs may
 	// not know yet that it was served. It is short, since another version of the servers may crash on a request that the
@@ -36,7 +36,7 @@
 	// shared holds the suspects of the replicated log; version is that of the latest list received.
 	shared  map[uint64]sharedSuspect
 	version uint64
-	// recentLists are the versions of the lists received within SettleTime, and the one before these, oldest first.
+	// recentLists are the versions of the lists received within CommonCauseWindow, and the one before these, oldest first.
 	recentLists []listVersion
 	// lastCounted is when this VM learned of the last crash that counts against a fingerprint.
 	lastCounted map[uint64]time.Duration
@@ -76,29 +76,29 @@
 // noteCounted records when a crash was counted against a fingerprint.
 func (m *trackerState) noteCounted(fingerprint uint64, now time.Duration) {
 	if len(m.lastCounted) >= maxCountTimes {
-		maps.DeleteFunc(m.lastCounted, func(_ uint64, at time.Duration) bool { return now-at >= SettleTime })
+		maps.DeleteFunc(m.lastCounted, func(_ uint64, at time.Duration) bool { return now-at >= CommonCauseWindow })
 	}
 	m.lastCounted[fingerprint] = now
 }
 
-// crashesKnown returns what this VM knew SettleTime ago of the crashes of a fingerprint: their count and the version of the
+// crashesKnown returns what this VM knew CommonCauseWindow ago of the crashes of a fingerprint: their count and the version of the
 // list, and as localCrashes the count of those that are not in the replicated log yet.
 func (m *trackerState) crashesKnown(fingerprint uint64, now time.Duration) (known *daisyhatchv1.CrashRun, localCrashes uint32) {
 	localCrashes = m.local.Get(fingerprint).GetCrashes()
 	known = &daisyhatchv1.CrashRun{KnownCrashes: uint32(m.crashCount(fingerprint))}
-	if at, ok := m.lastCounted[fingerprint]; ok && now-at < SettleTime {
+	if at, ok := m.lastCounted[fingerprint]; ok && now-at < CommonCauseWindow {
 		known.KnownCrashes, localCrashes = max(known.KnownCrashes, 1)-1, max(localCrashes, 1)-1
 	}
 	m.dropOldLists(now)
-	if len(m.recentLists) > 0 && now-m.recentLists[0].receivedAt >= SettleTime {
+	if len(m.recentLists) > 0 && now-m.recentLists[0].receivedAt >= CommonCauseWindow {
 		known.KnownVersion = m.recentLists[0].version
 	}
 	return known, localCrashes
 }
 
-// dropOldLists drops the lists that are older than the newest one received at least SettleTime ago.
+// dropOldLists drops the lists that are older than the newest one received at least CommonCauseWindow ago.
 func (m *trackerState) dropOldLists(now time.Duration) {
-	for len(m.recentLists) > 1 && now-m.recentLists[1].receivedAt >= SettleTime {
+	for len(m.recentLists) > 1 && now-m.recentLists[1].receivedAt >= CommonCauseWindow {
 		m.recentLists = m.recentLists[1:]
 	}
 }
--- a/pkg/quarantine/tracker_test.go
+++ b/pkg/quarantine/tracker_test.go
@@ -24,7 +24,7 @@
 	return engine.Target{Server: server, Incarnation: fmt.Sprint(n)}
 }
 
-// crashInterval is longer than SettleTime, so that crashes this far apart count separately.
+// crashInterval is longer than CommonCauseWindow, so that crashes this far apart count separately.
 const crashInterval = 150 * time.Millisecond
 
 // runAndCrash runs a request on a server that ends during the run.
--- a/pkg/stagecall/pool.go
+++ b/pkg/stagecall/pool.go
@@ -268,7 +268,7 @@
 	if again && inTime && !w.closed && piece.Tries < maxTries && (shed || r.Reason == dialect.ReasonRoom || p.budget.Allow(now)) {
 		if c.ended {
 			// So that the next end, if there is one, tells something about the request.
-			j.NotBefore = now.Add(quarantine.SettleTime)
+			j.NotBefore = now.Add(quarantine.CommonCauseWindow)
 		}
 		if len(j.Pieces) == 0 {
 			p.sched.Add(j, now)
