--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -153,7 +153,7 @@
 	f.control = fleet.NewControl(fleet.ControlOptions{
 		VM: f.consensusName(), Address: f.peerAddress(), Incarnation: f.incarnation, LossesBorne: f.settings.Fleet.LossesBorne,
 		Node: f.node, Machine: machine, State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, HTTP: p.client,
-		Suspects: f.suspects.Learn, Log: k.Log().WithName("control"),
+		Suspects: f.suspects.UpdateSuspects, Log: k.Log().WithName("control"),
 	}, stages)
 	reporter.PreferOwn(f.control)
 	p.handle(f.control.Handler(compressLarge()))
@@ -280,7 +280,7 @@
 	}
 	o := fleet.FollowerOptions{
 		VM: f.settings.VM.Name, Incarnation: f.incarnation, Entry: f.settings.VM.Entry(), Domain: f.settings.VM.FailureDomain,
-		State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, Suspects: f.suspects.Learn, HTTP: p.client,
+		State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, Suspects: f.suspects.UpdateSuspects, HTTP: p.client,
 		Log: k.Log().WithName("follow"),
 	}
 	if f.settings.VM.Control() {
--- a/pkg/quarantine/tracker.go
+++ b/pkg/quarantine/tracker.go
@@ -163,8 +163,8 @@
 	t.pendingReports--
 }
 
-// Learn applies a control VM's list of suspects of the given version. It ignores lists older than the latest one.
-func (t *Tracker) Learn(version uint64, list []*daisyhatchv1.Suspect) {
+// UpdateSuspects applies a control VM's list of suspects of the given version. It ignores lists older than the latest one.
+func (t *Tracker) UpdateSuspects(version uint64, list []*daisyhatchv1.Suspect) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := t.state.applyList(version, list, time.Since(t.start))
--- a/pkg/quarantine/tracker_test.go
+++ b/pkg/quarantine/tracker_test.go
@@ -132,13 +132,13 @@
 
 func TestOlderSuspectListsAreIgnored(t *testing.T) {
 	q := quarantine.NewTracker(quarantine.TrackerOptions{Log: logr.Discard()})
-	q.Learn(5, []*daisyhatchv1.Suspect{newSuspect(1, convicted, time.Hour)})
+	q.UpdateSuspects(5, []*daisyhatchv1.Suspect{newSuspect(1, convicted, time.Hour)})
 	require.True(t, refused(q, 1))
-	q.Learn(4, nil)
+	q.UpdateSuspects(4, nil)
 	require.True(t, refused(q, 1), "an older list must not clear a suspect")
-	q.Learn(6, nil)
+	q.UpdateSuspects(6, nil)
 	require.False(t, refused(q, 1))
-	q.Learn(5, []*daisyhatchv1.Suspect{newSuspect(1, convicted, time.Hour)})
+	q.UpdateSuspects(5, []*daisyhatchv1.Suspect{newSuspect(1, convicted, time.Hour)})
 	require.False(t, refused(q, 1), "an older list must not convict again")
 }
 
@@ -155,12 +155,12 @@
 			_, err := g.table.Crash(&daisyhatchv1.CrashCommand{Server: fmt.Sprint(n), Fingerprints: []uint64{1}}, 1)
 			require.NoError(t, err)
 		}
-		q.Learn(g.table.Version(), []*daisyhatchv1.Suspect{newSuspect(1, convicted, time.Hour)})
+		q.UpdateSuspects(g.table.Version(), []*daisyhatchv1.Suspect{newSuspect(1, convicted, time.Hour)})
 		require.False(t, refused(q, 1))
 		synctest.Wait()
 		require.Nil(t, g.table.Get(1), "the suspect must be cleared on the control VMs")
 		time.Sleep(time.Minute)
-		q.Learn(g.table.Version()+1, []*daisyhatchv1.Suspect{newSuspect(2, convicted, time.Hour)})
+		q.UpdateSuspects(g.table.Version()+1, []*daisyhatchv1.Suspect{newSuspect(2, convicted, time.Hour)})
 		require.True(t, refused(q, 2))
 	})
 }
@@ -231,7 +231,7 @@
 		}
 	}
 	for _, q := range g.trackers {
-		time.AfterFunc(time.Duration(1+g.r.IntN(400))*time.Millisecond, func() { q.Learn(version, list) })
+		time.AfterFunc(time.Duration(1+g.r.IntN(400))*time.Millisecond, func() { q.UpdateSuspects(version, list) })
 	}
 }
 
