--- a/pkg/fsm/view.go
+++ b/pkg/fsm/view.go
@@ -101,7 +101,7 @@
 // Making the text takes a while for an old version, and holds no command up.
 func (m *Machine) Version(version uint64) (*daisyhatchv1.ConfigurationVersion, error) {
 	m.mu.Lock()
-	past, err := m.publication.Past(version)
+	past, err := m.publication.StoredVersion(version)
 	m.mu.Unlock()
 	if err != nil {
 		return nil, err
--- a/pkg/publication/publication.go
+++ b/pkg/publication/publication.go
@@ -208,16 +208,16 @@
 
 // Version returns a version with its text. It returns ErrNoVersion when the text is not stored.
 func (p *Publication) Version(version uint64) (*daisyhatchv1.ConfigurationVersion, error) {
-	past, err := p.Past(version)
+	stored, err := p.StoredVersion(version)
 	if err != nil {
 		return nil, err
 	}
-	return past.Configuration()
+	return stored.Configuration()
 }
 
-// Past holds what is needed to rebuild the text of a version later. It stays valid while the
+// StoredVersion holds what is needed to rebuild the text of a version later. It stays valid while the
 // Publication changes.
-type Past struct {
+type StoredVersion struct {
 	meta *daisyhatchv1.ConfigurationVersion
 	// text is the configuration that was in force when this was taken. The deltas lead from it to older texts, the last
 	// one first.
@@ -225,17 +225,17 @@
 	deltas []*daisyhatchv1.ConfigurationDelta
 }
 
-// Past returns a version without rebuilding its text. It returns ErrNoVersion when the text is not stored.
-func (p *Publication) Past(version uint64) (Past, error) {
+// StoredVersion returns a version without rebuilding its text. It returns ErrNoVersion when the text is not stored.
+func (p *Publication) StoredVersion(version uint64) (StoredVersion, error) {
 	current := p.inForce.GetVersion()
 	if version == current {
-		return Past{meta: p.inForce, text: p.inForce.GetConfiguration()}, nil
+		return StoredVersion{meta: p.inForce, text: p.inForce.GetConfiguration()}, nil
 	}
 	back := current - version
 	if version == 0 || version > current || back > uint64(len(p.deltas)) || back >= uint64(len(p.history)) {
-		return Past{}, fmt.Errorf("%w: %d", ErrNoVersion, version)
+		return StoredVersion{}, fmt.Errorf("%w: %d", ErrNoVersion, version)
 	}
-	return Past{
+	return StoredVersion{
 		meta:   p.history[uint64(len(p.history))-1-back],
 		text:   p.inForce.GetConfiguration(),
 		deltas: p.deltas[uint64(len(p.deltas))-back:],
@@ -243,7 +243,7 @@
 }
 
 // Configuration rebuilds the text and returns the version with it.
-func (p Past) Configuration() (*daisyhatchv1.ConfigurationVersion, error) {
+func (p StoredVersion) Configuration() (*daisyhatchv1.ConfigurationVersion, error) {
 	text := p.text
 	for _, d := range slices.Backward(p.deltas) {
 		older, err := Patch(text, d)
