--- a/pkg/fleet/suspects.go
+++ b/pkg/fleet/suspects.go
@@ -74,7 +74,7 @@
 // NewSuspectsReporter returns a SuspectsReporter.
 func NewSuspectsReporter(r *Roster, h *http.Client) *SuspectsReporter {
 	s := &SuspectsReporter{roster: r, http: h}
-	s.ControlReporter = quarantine.NewReporterTo(func() []quarantine.CrashClient {
+	s.ControlReporter = quarantine.NewDynamicReporter(func() []quarantine.CrashClient {
 		var out []quarantine.CrashClient
 		for _, c := range s.clients() {
 			out = append(out, c)
--- a/pkg/quarantine/reporter.go
+++ b/pkg/quarantine/reporter.go
@@ -39,11 +39,11 @@
 	for _, a := range addresses {
 		all = append(all, daisyhatchv1connect.NewEntryServiceClient(client, "http://"+a))
 	}
-	return NewReporterTo(func() []CrashClient { return all })
+	return NewDynamicReporter(func() []CrashClient { return all })
 }
 
-// NewReporterTo returns a reporter that calls clients for the current control VMs at each report.
-func NewReporterTo(clients func() []CrashClient) *ControlReporter {
+// NewDynamicReporter returns a reporter that calls clients for the current control VMs at each report.
+func NewDynamicReporter(clients func() []CrashClient) *ControlReporter {
 	return &ControlReporter{clients: clients}
 }
 
