--- a/pkg/publication/compress.go
+++ b/pkg/publication/compress.go
@@ -21,7 +21,8 @@
 	return out.Bytes()
 }
 
-// Decompress returns the text of a gzip stream of at most MaxText bytes uncompressed. Otherwise it returns ErrCompressed.
+// Decompress returns the text of a gzip stream of at most MaxText bytes uncompressed. Otherwise it returns
+// ErrCompressed.
 func Decompress(data []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
--- a/pkg/publication/publication.go
+++ b/pkg/publication/publication.go
@@ -333,8 +333,8 @@
 	return nil
 }
 
-// contentHash returns a hash of all that two sendings of one change have in common: operator, base version, reason and the
-// complete new text.
+// contentHash returns a hash of all that two sendings of one change have in common: operator, base version, reason and
+// the complete new text.
 func contentHash(c *daisyhatchv1.PublishCommand) []byte {
 	h := sha256.New()
 	text := sha256.Sum256(c.GetConfiguration())
--- a/pkg/quarantine/claim.go
+++ b/pkg/quarantine/claim.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// claimOrganisation is the organisation under which suspects are claimed in the ledger. It can't clash with a configured
-	// organisation, whose name never contains parentheses.
+	// claimOrganisation is the organisation under which suspects are claimed in the ledger. It can't clash with a
+	// configured organisation, whose name never contains parentheses.
 	claimOrganisation = "(quarantine)"
 	// claimRetryAfter is the Retry-After time sent to the caller of a suspect that runs on another VM.
 	claimRetryAfter = time.Second
--- a/pkg/quarantine/confirm.go
+++ b/pkg/quarantine/confirm.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxListAge is how long after the list of suspects was requested requests may still start on its basis. A Source may
-	// miss what was committed in the 100 ms before the request; the sum is DefaultPropagationDelay, so that no VM starts a suspect
-	// unknowingly once its retry begins.
+	// maxListAge is how long after the list of suspects was requested requests may still start on its basis. A Source
+	// may miss what was committed in the 100 ms before the request; the sum is DefaultPropagationDelay, so that no VM
+	// starts a suspect unknowingly once its retry begins.
 	maxListAge = DefaultPropagationDelay - 100*time.Millisecond
 	// ListRefreshAge is the age at which the list is refreshed in the background while requests keep starting.
 	ListRefreshAge = maxListAge * 3 / 4
@@ -50,8 +50,8 @@
 	}
 }
 
-// refreshIfStale returns the list request to wait for; nil while the list is fresh. It starts a refresh in the background
-// once the list is older than ListRefreshAge, before requests have to wait for it.
+// refreshIfStale returns the list request to wait for; nil while the list is fresh. It starts a refresh in the
+// background once the list is older than ListRefreshAge, before requests have to wait for it.
 func (q *Quarantine) refreshIfStale() *listRefresh {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -66,7 +66,7 @@
 	return q.refreshing
 }
 
-// refresh requests the list once and wakes the callers that wait on r.
+// refresh requests the list once and wakes the callers that wait for it.
 func (q *Quarantine) refresh(c *listRefresh) {
 	ctx, cancel := context.WithTimeout(context.Background(), refreshTimeout)
 	defer cancel()
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -30,8 +30,8 @@
 	reportMaxBackoff     = 200 * time.Millisecond
 )
 
-// DefaultPropagationDelay is the time after the commit of a crash report by which every entry VM either knows of the crash or
-// starts no requests.
+// DefaultPropagationDelay is the time after the commit of a crash report by which every entry VM either knows of the
+// crash or starts no requests.
 const DefaultPropagationDelay = 500 * time.Millisecond
 
 var (
@@ -55,8 +55,8 @@
 	// Ledger keeps a suspect from running on two VMs at once; nil disables this.
 	Ledger dispatch.Ledger
 	Log    logr.Logger
-	// PropagationDelay is how long the retry of a suspect waits after its crash report was committed, so that no other entry VM
-	// starts the same request without knowing that it is a suspect. 0 means DefaultPropagationDelay.
+	// PropagationDelay is how long the retry of a suspect waits after its crash report was committed, so that no other
+	// entry VM starts the same request without knowing that it is a suspect. 0 means DefaultPropagationDelay.
 	PropagationDelay time.Duration
 	// Now returns the wall-clock time, by which suspicions expire; nil means time.Now.
 	Now func() time.Time
@@ -179,8 +179,8 @@
 	q.state.merge(res.GetSuspects(), false)
 }
 
-// waitForPropagation waits until the other entry VMs know of a committed crash report. It isn't needed after the crash of
-// a suspect that ran alone, since no other VM can claim that suspect.
+// waitForPropagation waits until the other entry VMs know of a committed crash report. It isn't needed after the crash
+// of a suspect that ran alone, since no other VM can claim that suspect.
 func (q *Quarantine) waitForPropagation(ctx context.Context) {
 	t := time.NewTimer(q.opts.PropagationDelay)
 	defer t.Stop()
--- a/pkg/quarantine/source.go
+++ b/pkg/quarantine/source.go
@@ -16,8 +16,8 @@
 const (
 	// listTimeout bounds one control VM's answer with its list of suspects.
 	listTimeout = 250 * time.Millisecond
-	// minLeaderlessTime is how long a voter must have followed no leader to show that it took part in no recent commit. It
-	// is more than two heartbeat intervals.
+	// minLeaderlessTime is how long a voter must have followed no leader to show that it took part in no recent commit.
+	// It is more than two heartbeat intervals.
 	minLeaderlessTime = 250 * time.Millisecond
 )
 
--- a/pkg/quarantine/state.go
+++ b/pkg/quarantine/state.go
@@ -14,8 +14,8 @@
 type suspect struct {
 	verdict dispatch.Verdict
 	expires time.Time
-	// inLastList is true while the latest list of the control VMs holds the suspect; it doesn't expire by this VM's clock
-	// then.
+	// inLastList is true while the latest list of the control VMs holds the suspect; it doesn't expire by this VM's
+	// clock then.
 	inLastList bool
 }
 
--- a/pkg/quarantine/tracker.go
+++ b/pkg/quarantine/tracker.go
@@ -16,10 +16,11 @@
 )
 
 const (
-	// trackerReportTimeout bounds the attempts to commit a Tracker's report. It is as long as a suspicion lasts, so that a
-	// VM that was cut off from the control VMs still reports the crashes that it saw once it reaches them again.
+	// trackerReportTimeout bounds the attempts to commit a Tracker's report. It is as long as a suspicion lasts, so
+	// that a VM that was cut off from the control VMs still reports the crashes that it saw once it reaches them again.
 	trackerReportTimeout = suspects.SuspicionMs * time.Millisecond
-	trackerMaxBackoff    = time.Second
+	// trackerMaxBackoff is the longest pause between the attempts to commit a Tracker's reports.
+	trackerMaxBackoff = time.Second
 	// clearTimeout bounds the attempts to commit that a suspect was served. If they fail, the next VM that serves the
 	// suspect reports it.
 	clearTimeout = 5 * time.Second
@@ -44,9 +45,9 @@
 }
 
 // Tracker refuses requests under which servers ended one after the other. Unlike a Quarantine it delays no request: the
-// first retry starts at once, and from the third crash on the request is refused on all VMs. A crash doesn't count against
-// a request that was served lately, and servers that end at about the same time count as one crash. It is safe for
-// concurrent use.
+// first retry starts at once, and from the third crash on the request is refused on all VMs. A crash doesn't count
+// against a request that was served lately, and servers that end at about the same time count as one crash. It is safe
+// for concurrent use.
 type Tracker struct {
 	opts  TrackerOptions
 	start time.Time
@@ -163,7 +164,8 @@
 	t.pendingReports--
 }
 
-// UpdateSuspects applies a control VM's list of suspects of the given version. It ignores lists older than the latest one.
+// UpdateSuspects applies a control VM's list of suspects of the given version. It ignores lists older than the latest
+// one.
 func (t *Tracker) UpdateSuspects(version uint64, list []*daisyhatchv1.Suspect) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/quarantine/tracker_state.go
+++ b/pkg/quarantine/tracker_state.go
@@ -13,14 +13,16 @@
 const (
 	// maxServed bounds the fingerprints kept of recently served requests; it covers minutes of one VM's requests.
 	maxServed = 4096
-	// CommonCauseWindow is how long after the end of one server the end of another may still have the same cause: the lost servers
-	// of a failure domain are detected one after the other, each by the retry of a request that the one before lost.
+	// CommonCauseWindow is how long after the end of one server the end of another may still have the same cause: the
+	// lost servers of a failure domain are detected one after the other, each by the retry of a request that the one
+	// before lost.
 	CommonCauseWindow = 100 * time.Millisecond
-	// maxCountTimes is the size of trackerState.lastCounted above which entries older than CommonCauseWindow are dropped.
+	// maxCountTimes is the size of trackerState.lastCounted above which entries older than CommonCauseWindow are
+	// dropped.
 	maxCountTimes = 1024
-	// servedGracePeriod is how long after it was served a request is not suspected, whatever the list says: other VMs may
-	// not know yet that it was served. It is short, since another version of the servers may crash on a request that the
-	// former version served.
+	// servedGracePeriod is how long after it was served a request is not suspected, whatever the list says: other VMs
+	// may not know yet that it was served. It is short, since another version of the servers may crash on a request
+	// that the former version served.
 	servedGracePeriod = 5 * time.Second
 	// maxRefusalMs is the longest time, in milliseconds, that a request is refused without a newer list from the control
 	// VMs.
@@ -36,7 +38,8 @@
 	// shared holds the suspects of the replicated log; version is that of the latest list received.
 	shared  map[uint64]sharedSuspect
 	version uint64
-	// recentLists are the versions of the lists received within CommonCauseWindow, and the one before these, oldest first.
+	// recentLists are the versions of the lists received within CommonCauseWindow, and the one before these, oldest
+	// first.
 	recentLists []listVersion
 	// lastCounted is when this VM learned of the last crash that counts against a fingerprint.
 	lastCounted map[uint64]time.Duration
@@ -81,8 +84,8 @@
 	m.lastCounted[fingerprint] = now
 }
 
-// crashesKnown returns what this VM knew CommonCauseWindow ago of the crashes of a fingerprint: their count and the version of the
-// list, and as localCrashes the count of those that are not in the replicated log yet.
+// crashesKnown returns what this VM knew CommonCauseWindow ago of the crashes of a fingerprint: their count and the
+// version of the list, and as localCrashes the count of those that are not in the replicated log yet.
 func (m *trackerState) crashesKnown(fingerprint uint64, now time.Duration) (known *daisyhatchv1.CrashRun, localCrashes uint32) {
 	localCrashes = m.local.Get(fingerprint).GetCrashes()
 	known = &daisyhatchv1.CrashRun{KnownCrashes: uint32(m.crashCount(fingerprint))}
@@ -103,8 +106,8 @@
 	}
 }
 
-// refusedFor returns how much longer a fingerprint is refused; false when it is not. wallMs is the wall-clock time in Unix
-// milliseconds, which the expiry times of the replicated log refer to.
+// refusedFor returns how much longer a fingerprint is refused; false when it is not. wallMs is the wall-clock time in
+// Unix milliseconds, which the expiry times of the replicated log refer to.
 func (m *trackerState) refusedFor(fingerprint uint64, now time.Duration, wallMs int64) (time.Duration, bool) {
 	if s := m.local.Get(fingerprint); s.GetState() == daisyhatchv1.SuspectState_SUSPECT_STATE_CONVICTED {
 		if left := time.Duration(s.GetExpiresUnixMs())*time.Millisecond - now; left > 0 {
@@ -189,8 +192,8 @@
 
 // listChanges is what a new list of suspects changed.
 type listChanges struct {
-	// convicted are the requests that are refused from now on, cleared those that no longer are. served are suspects that
-	// this VM served within servedGracePeriod, which the other VMs must be told.
+	// convicted are the requests that are refused from now on, cleared those that no longer are. served are suspects
+	// that this VM served within servedGracePeriod, which the other VMs must be told.
 	convicted, cleared, served []uint64
 }
 
--- a/pkg/quarantine/tracker_test.go
+++ b/pkg/quarantine/tracker_test.go
@@ -96,7 +96,7 @@
 		}
 		require.False(t, refused(q, 1))
 	})
-	t.Run("one crash is reported repeatedly", func(t *testing.T) {
+	t.Run("one crash is detected repeatedly", func(t *testing.T) {
 		q := newLocalTracker()
 		for range 5 {
 			runAndCrash(q, 1, targetOf("s", 0))
@@ -238,9 +238,11 @@
 // serverPool simulates backend servers. A server crashes under the request crashingFingerprint, or when the test crashes
 // it.
 type serverPool struct {
-	mu           sync.Mutex
+	mu sync.Mutex
+	// incarnations holds each server's current incarnation, -1 while the server is down.
 	incarnations []int
-	crashed      []chan struct{}
+	// crashed holds a channel per server that is closed when the server crashes.
+	crashed []chan struct{}
 }
 
 const (
@@ -319,8 +321,8 @@
 }
 
 // One request crashes its servers and is sent again and again to six VMs, among other requests of which some are alike,
-// while failure domains are lost and, for even seeds, the control group has no leader for two seconds. More than 3 s after
-// its third crash it may crash three more servers at most, and no other request may be refused.
+// while failure domains are lost and, for even seeds, the control group has no leader for two seconds. More than 3 s
+// after its third crash it may crash three more servers at most, and no other request may be refused.
 func TestCrashingRequestIsRefusedAndOthersServed(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
