--- a/pkg/fleet/orders.go
+++ b/pkg/fleet/commands.go
@@ -13,7 +13,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/fsm"
 )
 
-// durable reports whether what the group accepts outlasts the losses of disks that must be borne.
+// durable reports whether a committed command survives the loss of LossesBorne disks.
 func (c *Control) durable() bool {
 	n := 0
 	for _, p := range c.opts.Node.Status().Membership.GetPeers() {
@@ -24,17 +24,18 @@
 	return n/2+1 > c.opts.LossesBorne
 }
 
-// propose puts a command into the log and returns its result.
+// propose commits a command to the replicated log and returns its result. It returns ErrUnavailable if the command
+// would not be durable.
 func (c *Control) propose(ctx context.Context, cmd *daisyhatchv1.Command) (*daisyhatchv1.Result, error) {
 	if !c.durable() {
-		return nil, fmt.Errorf("%w: too few voters to bear the loss of %d disks", ErrUnavailable, c.opts.LossesBorne)
+		return nil, fmt.Errorf("%w: too few voters to survive the loss of %d disks", ErrUnavailable, c.opts.LossesBorne)
 	}
-	return c.proposeAnyway(ctx, cmd)
+	return c.proposeUnchecked(ctx, cmd)
 }
 
-// proposeAnyway proposes a command that may be lost with the disks that must be borne: one that is made anew then.
-func (c *Control) proposeAnyway(ctx context.Context, cmd *daisyhatchv1.Command) (*daisyhatchv1.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+// proposeUnchecked is propose without the check for durability, for commands that are made again if they are lost.
+func (c *Control) proposeUnchecked(ctx context.Context, cmd *daisyhatchv1.Command) (*daisyhatchv1.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	cmd.Proposer, cmd.TimeUnixMs = c.opts.VM, time.Now().UnixMilli()
 	data, err := proto.Marshal(cmd)
@@ -52,8 +53,8 @@
 	return r, nil
 }
 
-// Publish puts a configuration document in force unless a higher version is. Errors: ErrInvalid when the document is
-// refused, ErrUnavailable when it may or may not have been taken.
+// Publish puts a configuration document in force unless a higher version is. It returns ErrInvalid if the document is
+// rejected and ErrUnavailable if it may or may not have been accepted.
 func (c *Control) Publish(ctx context.Context, document []byte) (accepted bool, err error) {
 	set, err := c.opts.Parse(document)
 	if err != nil {
@@ -67,9 +68,10 @@
 	return r.GetRevision().GetOutcome() == daisyhatchv1.RevisionOutcome_REVISION_OUTCOME_ACCEPTED, nil
 }
 
-// Document returns the configuration in force: the newest one accepted when the call began, or ErrUnavailable.
+// Document returns the configuration in force: the latest one accepted when the call began. It returns ErrUnavailable
+// if the control group can't confirm it or none was accepted yet.
 func (c *Control) Document(ctx context.Context) (document []byte, version uint64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if err := c.opts.Node.ReadBarrier(ctx); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -81,18 +83,19 @@
 	return view.Revision.Document, view.Revision.Version, nil
 }
 
-// SetDomain takes a failure domain out of service or back in.
+// SetDomain takes a failure domain out of service, or puts it back if out is false.
 func (c *Control) SetDomain(ctx context.Context, domain string, out bool) error {
 	cmd := &daisyhatchv1.DomainCommand{FailureDomain: domain, Out: out}
 	_, err := c.propose(ctx, &daisyhatchv1.Command{Body: &daisyhatchv1.Command_Domain{Domain: cmd}})
 	return err
 }
 
-// Announce takes a server's announcement. One that ends the server's work is acknowledged only once so many other control
-// VMs have it that the losses that must be borne leave one; ErrUnavailable otherwise.
+// Announce records a server's announcement. One that says that the server is draining or gone is acknowledged only
+// once LossesBorne other control VMs have stored it, so that one copy survives the loss of
+// LossesBorne VMs; Announce returns ErrUnavailable otherwise.
 func (c *Control) Announce(ctx context.Context, s directory.Server) error {
-	news := c.opts.State.Announced(s)
-	if len(news) > 0 {
+	updated := c.opts.State.Announced(s)
+	if len(updated) > 0 {
 		c.opts.Log.Info("server announced", "server", s.ID, "service", s.Service, "state", s.State.String(),
 			"address", s.Address, "domain", s.Domain, "born_ms", s.Born, "sequence", s.Sequence)
 	}
@@ -102,15 +105,16 @@
 	return c.relay(ctx, s)
 }
 
-// Leave takes a server's departure, as Announce does.
+// Leave records a server's departure and acknowledges it as Announce does.
 func (c *Control) Leave(ctx context.Context, id string) error {
 	s := c.opts.State.Leave(id, time.Now())
 	c.opts.Log.Info("server left", "server", id, "service", s.Service, "address", s.Address)
 	return c.relay(ctx, s)
 }
 
+// relay sends a server's departure to the other control VMs and waits until LossesBorne of them have stored it.
 func (c *Control) relay(ctx context.Context, s directory.Server) error {
-	req := &daisyhatchv1.RelayRequest{Servers: []*daisyhatchv1.AnnouncedServer{toWire(s, time.Now())}}
+	req := &daisyhatchv1.RelayRequest{Servers: []*daisyhatchv1.AnnouncedServer{serverToWire(s, time.Now())}}
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	addresses := c.opts.Roster.Addresses(time.Now())
@@ -121,23 +125,23 @@
 			results <- err
 		}()
 	}
-	took := 0
+	stored := 0
 	for range addresses {
 		if err := <-results; err == nil {
-			took++
+			stored++
 		}
-		if took >= c.opts.LossesBorne {
+		if stored >= c.opts.LossesBorne {
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %d other control VMs took the departure of %s, %d are needed",
-		ErrUnavailable, took, s.ID, c.opts.LossesBorne)
+	return fmt.Errorf("%w: %d other control VMs stored the departure of %s, %d must",
+		ErrUnavailable, stored, s.ID, c.opts.LossesBorne)
 }
 
 // Relay implements FleetService.
 func (c *Control) Relay(
 	_ context.Context, req *connect.Request[daisyhatchv1.RelayRequest],
 ) (*connect.Response[daisyhatchv1.RelayResponse], error) {
-	c.opts.State.Merge(allFromWire(req.Msg.GetServers(), time.Now()))
+	c.opts.State.Merge(serversFromWire(req.Msg.GetServers(), time.Now()))
 	return connect.NewResponse(&daisyhatchv1.RelayResponse{}), nil
 }
--- a/pkg/fleet/control.go
+++ b/pkg/fleet/control.go
@@ -1,6 +1,7 @@
-// Package fleet holds a system's VMs together that know only a few seeds: control VMs find one another, replace members
-// that are gone, keep the configuration and the failure domains out of service in the replicated log, and hear the
-// announcements of backend servers; every VM follows all control VMs and knows what they know.
+// Package fleet connects the VMs of a system, each of which starts from a few seed addresses. Control VMs discover
+// one another, replace failed members of the control group, replicate the configuration and the failure domains out
+// of service, and receive the announcements of backend servers. Every VM receives this state over streams from
+// control VMs.
 package fleet
 
 import (
@@ -22,111 +23,119 @@
 	"github.com/daisyhatch/daisyhatch/pkg/stageowner"
 )
 
-// Errors of this package.
 var (
-	// ErrUnavailable means that the control group can't take an order or vouch for a read now.
+	// ErrUnavailable means that the control group can't commit a command or confirm a read now.
 	ErrUnavailable = errors.New("fleet: the control group is not available")
-	// ErrInvalid means that an order is refused for what it says.
-	ErrInvalid = errors.New("fleet: invalid order")
+	// ErrInvalid means that a command was rejected because of its content.
+	ErrInvalid = errors.New("fleet: invalid command")
 )
 
-// Times of control.
+// Timeouts and intervals of a control VM.
 const (
-	// orderTimeout bounds an order or a read: callers give up after a second.
-	orderTimeout = 900 * time.Millisecond
-	// relayTimeout bounds the wait for other control VMs to take a departure: servers give up after a second.
+	// requestTimeout limits a proposal or a read. It is below the second after which callers give up.
+	requestTimeout = 900 * time.Millisecond
+	// relayTimeout limits how long a departure waits for other control VMs to store it. It is below the second after
+	// which servers give up.
 	relayTimeout = 700 * time.Millisecond
 	// joinInterval is the time between two requests to join the control group.
 	joinInterval = 500 * time.Millisecond
-	// quietBeforeJoin is how long a voter that obeys no leader waits until it asks to be added: it may have been removed.
-	quietBeforeJoin = 2 * time.Second
-	// planInterval is the time between two looks at the membership.
-	planInterval = 300 * time.Millisecond
-	// confirmInterval is the time between two confirmations of the state by the leader: a quarter of what the right to
-	// form stage calls lasts.
+	// rejoinAfter is how long a voter hears from no leader before it asks to be added again, since it may have been
+	// removed from the group.
+	rejoinAfter = 2 * time.Second
+	// membershipInterval is how often the leader checks whether the membership of the control group has to change.
+	membershipInterval = 300 * time.Millisecond
+	// confirmInterval is how often a control VM has the leader confirm its state: a quarter of the time for which a
+	// confirmation permits stage calls.
 	confirmInterval = stageowner.LostAfter / 4
-	// confirmLife is how long a confirmation makes what this VM says current.
-	confirmLife = time.Second
-	// ownerInterval is the time between two looks at the owners of stage calls: those of a lost one wait for it.
+	// confirmationTTL is how long after a confirmation this VM tells followers that its state is current.
+	confirmationTTL = time.Second
+	// ownerInterval is how often the leader checks the owners of stage calls. The calls of a lost owner wait until it
+	// is replaced.
 	ownerInterval = 100 * time.Millisecond
-	// followHeartbeat is the longest silence on a follow stream. News go out at once; the heartbeat only tells that the
-	// stream is sound.
+	// followHeartbeat is the longest time without a message on a follow stream. Changes don't wait for it; a
+	// heartbeat only shows that the stream works.
 	followHeartbeat = 400 * time.Millisecond
-	// followBatch is the pause after an update to an entry VM, so that changes that come together go out together: after a
-	// restart of all VMs thousands of servers announce themselves within seconds. peerBatch is the same between control VMs.
-	followBatch = 100 * time.Millisecond
-	peerBatch   = 20 * time.Millisecond
-	// refreshInterval is how often followers hear that servers are still there: a third of what a silent one is kept.
+	// entryBatchDelay is the pause after a message to an entry VM, so that changes in quick succession are sent
+	// together: after a restart of all VMs, thousands of servers announce themselves within seconds. peerBatchDelay
+	// is the same between control VMs.
+	entryBatchDelay = 100 * time.Millisecond
+	peerBatchDelay  = 20 * time.Millisecond
+	// refreshInterval is how often entry VMs are told which servers are still alive: a third of the time after which
+	// a silent server is dropped.
 	refreshInterval = 5 * time.Second
-	// rosterRefresh is how often followers hear of the control VMs when nothing changed: a third of rosterKept.
-	rosterRefresh = rosterKept / 3
+	// rosterRefreshInterval is how often followers are sent an unchanged list of control VMs: a third of rosterTTL.
+	rosterRefreshInterval = rosterTTL / 3
 	// entriesInterval is the least time between two lists of entry VMs on one stream, so that VMs that start together
-	// are told together.
+	// are sent in one message.
 	entriesInterval = 500 * time.Millisecond
-	// entriesSettle is how long after its start a control VM tells of no entry VMs: it has not heard of all yet, and
-	// shares of a bound would be too large.
-	entriesSettle = 2 * time.Second
-	// peerRefreshInterval is how often other control VMs hear which servers announced themselves to this one, and
-	// peerRelayInterval which ones it heard of in any way: they may be cut off from the VM that a server speaks to. Both
-	// are well below the silence from which a server is quiet.
+	// entriesStartupDelay is how long after its start a control VM sends entry VMs no list of entry VMs. It doesn't
+	// know all of them yet, and shares of a limit computed from an incomplete list would be too large.
+	entriesStartupDelay = 2 * time.Second
+	// peerRefreshInterval is how often other control VMs are sent the servers that announced themselves to this one;
+	// peerRelayInterval is how often they are sent all servers heard of in any way, since they may be cut off from
+	// the VM to which a server announces itself. Both are well below the silence after which a server is marked
+	// quiet.
 	peerRefreshInterval = time.Second
 	peerRelayInterval   = 3 * time.Second
 )
 
-// Parse reads and checks a configuration document.
+// Parse reads and validates a configuration document.
 type Parse func(document []byte) (*catalog.Set, error)
 
-// Suspects takes a list of requests under which several servers ended; lists of higher versions are newer.
+// Suspects receives the list of requests during which several servers crashed. A list with a higher version is newer.
 type Suspects func(version uint64, list []*daisyhatchv1.Suspect)
 
-// ControlOptions are what a Control is made from.
+// ControlOptions configure a Control.
 type ControlOptions struct {
-	// VM is the name in the control group, Address the peer address.
+	// VM is the VM's name in the control group; Address is its peer address, IP:port.
 	VM          string
 	Address     string
 	Incarnation string
+	// LossesBorne is how many lost disks the committed state must survive.
 	LossesBorne int
 	Node        *replica.Node
 	Machine     *fsm.Machine
 	State       *State
 	Roster      *Roster
 	Parse       Parse
-	// Suspects is told of the requests under which several servers ended, as Follower does.
+	// Suspects receives the requests during which several servers crashed, as FollowerOptions.Suspects does.
 	Suspects Suspects
 	HTTP     *http.Client
 	Log      logr.Logger
 }
 
-// Control is a control VM's part of the fleet.
+// Control runs on a control VM: it implements FleetService and helps to manage the control group.
 type Control struct {
 	daisyhatchv1connect.UnimplementedFleetServiceHandler
 	opts ControlOptions
 
 	started time.Time
 	stages  StageRunner
-	// joins holds the followers that are being told of all servers.
-	joins  chan struct{}
-	owners ownerWatch
+	// snapshotSlots limits how many followers receive their first message, which lists all servers, at the same time.
+	snapshotSlots chan struct{}
+	owners        ownerPlanState
 
 	mu        sync.Mutex
 	joiners   map[string]Joiner
-	followers map[uint64]follower
-	// following grows when the entry VMs that follow this VM change.
-	following uint64
-	confirmed time.Time
+	followers map[uint64]entryFollower
+	// followersVersion is incremented when an entry VM is added to or removed from followers.
+	followersVersion uint64
+	// confirmedAt is when the latest successful confirmation of the state began; zero before the first one.
+	confirmedAt time.Time
 }
 
-// follower is an entry VM that follows this VM.
-type follower struct {
+// entryFollower is an entry VM that follows this VM.
+type entryFollower struct {
+	// streams is the number of its open streams.
 	streams int
-	// left is when its last stream ended.
-	left time.Time
+	// endedAt is when its latest stream to end did so.
+	endedAt time.Time
 }
 
-// NewControl returns a Control; stages may be nil.
+// NewControl returns a Control. stages may be nil; StageRun and StageFree must not be called then.
 func NewControl(o ControlOptions, stages StageRunner) *Control {
 	return &Control{
-		opts: o, started: time.Now(), stages: stages, joins: make(chan struct{}, joinsAtOnce), joiners: make(map[string]Joiner), followers: make(map[uint64]follower),
+		opts: o, started: time.Now(), stages: stages, snapshotSlots: make(chan struct{}, maxConcurrentSnapshots), joiners: make(map[string]Joiner), followers: make(map[uint64]entryFollower),
 	}
 }
 
@@ -135,19 +144,20 @@
 	return daisyhatchv1connect.NewFleetServiceHandler(c, o...)
 }
 
-// Run works until ctx ends.
+// Run runs the periodic tasks of a control VM until ctx ends.
 func (c *Control) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { c.takeOver(ctx) })
-	wg.Go(func() { every(ctx, confirmInterval, c.confirm) })
-	wg.Go(func() { every(ctx, planInterval, c.plan) })
-	wg.Go(func() { every(ctx, joinInterval, c.join) })
-	wg.Go(func() { every(ctx, ownerInterval, c.assignOwners) })
-	wg.Go(func() { every(ctx, time.Second, c.expire) })
+	wg.Go(func() { c.syncReplicatedState(ctx) })
+	wg.Go(func() { runEvery(ctx, confirmInterval, c.confirm) })
+	wg.Go(func() { runEvery(ctx, membershipInterval, c.planMembership) })
+	wg.Go(func() { runEvery(ctx, joinInterval, c.requestJoin) })
+	wg.Go(func() { runEvery(ctx, ownerInterval, c.assignOwners) })
+	wg.Go(func() { runEvery(ctx, time.Second, c.expire) })
 	wg.Wait()
 }
 
-func every(ctx context.Context, d time.Duration, f func(context.Context)) {
+// runEvery calls f once per d until ctx ends.
+func runEvery(ctx context.Context, d time.Duration, f func(context.Context)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 	for {
@@ -160,22 +170,23 @@
 	}
 }
 
-// takeOver copies the replicated state into the VM's State.
-func (c *Control) takeOver(ctx context.Context) {
-	told, shared := uint64(0), []*daisyhatchv1.Suspect(nil)
+// syncReplicatedState copies the replicated state into the VM's State whenever it changes, until ctx ends.
+func (c *Control) syncReplicatedState(ctx context.Context) {
+	deliveredVersion, shared := uint64(0), []*daisyhatchv1.Suspect(nil)
 	for {
 		view, changed := c.opts.Machine.View()
 		r := view.Revision
-		c.opts.State.learnOwners(view.StageOwners)
+		c.opts.State.mergeOwners(view.StageOwners)
 		if r.Number > c.opts.State.Number() {
-			c.adopt(r.Number, r.Version, r.Document, r.DomainsOut)
+			c.applyRevision(r.Number, r.Version, r.Document, r.DomainsOut)
 		}
-		if view.SuspectsVersion != told {
+		if view.SuspectsVersion != deliveredVersion {
 			before := shared
-			told, shared = view.SuspectsVersion, sharedSuspects(view.Suspects)
-			c.opts.Suspects(told, shared)
-			if !slices.EqualFunc(before, shared, sameSuspect) {
-				// Otherwise the heartbeat is soon enough: many servers may end at the same time.
+			deliveredVersion, shared = view.SuspectsVersion, sharedSuspects(view.Suspects)
+			c.opts.Suspects(deliveredVersion, shared)
+			if !slices.EqualFunc(before, shared, equalSuspect) {
+				// If the shared suspects are unchanged, the next heartbeat is soon enough: many servers may crash at the
+				// same time.
 				c.opts.State.wakeFollowers()
 			}
 		}
@@ -187,7 +198,9 @@
 	}
 }
 
-func (c *Control) adopt(number, version uint64, document []byte, out []string) {
+// applyRevision applies a replicated state to the VM's State. A configuration that can't be parsed leaves the earlier one in
+// use.
+func (c *Control) applyRevision(number, version uint64, document []byte, domainsOut []string) {
 	var set *catalog.Set
 	if known := c.opts.State.Catalog(); known == nil || known.Version < version {
 		var err error
@@ -195,20 +208,21 @@
 			c.opts.Log.Error(err, "configuration in force can't be read; the former one stays in use here", "version", version)
 		}
 	}
-	if c.opts.State.apply(number, set, out, time.Now()) {
-		c.opts.Log.Info("state in force", "number", number, "version", version, "domains_out", out)
+	if c.opts.State.apply(number, set, domainsOut, time.Now()) {
+		c.opts.Log.Info("state in force", "number", number, "version", version, "domains_out", domainsOut)
 	}
 }
 
+// confirm has the leader confirm that this VM's state is current.
 func (c *Control) confirm(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, confirmLife)
+	ctx, cancel := context.WithTimeout(ctx, confirmationTTL)
 	defer cancel()
 	begin := time.Now()
 	err := c.opts.Node.ReadBarrier(ctx)
 	c.mu.Lock()
-	before := !c.confirmed.IsZero() && begin.Sub(c.confirmed) < 3*confirmLife
+	before := !c.confirmedAt.IsZero() && begin.Sub(c.confirmedAt) < 3*confirmationTTL
 	if err == nil {
-		c.confirmed = begin
+		c.confirmedAt = begin
 	}
 	c.mu.Unlock()
 	if err == nil {
@@ -219,12 +233,14 @@
 	}
 }
 
-func (c *Control) isCurrent(now time.Time) bool {
+// recentlyConfirmed reports whether the state was confirmed within confirmationTTL.
+func (c *Control) recentlyConfirmed(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.confirmed.IsZero() && now.Sub(c.confirmed) < confirmLife
+	return !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) < confirmationTTL
 }
 
+// expire drops entry VMs and servers that have been silent for too long, and marks quiet servers.
 func (c *Control) expire(context.Context) {
 	c.expireFollowers(time.Now())
 	for _, v := range c.opts.State.Quieten(time.Now()) {
--- a/pkg/fleet/convert.go
+++ b/pkg/fleet/convert.go
@@ -7,8 +7,8 @@
 	"github.com/daisyhatch/daisyhatch/pkg/directory"
 )
 
-// toWire describes a record by ages, since VMs don't share a clock.
-func toWire(s directory.Server, now time.Time) *daisyhatchv1.AnnouncedServer {
+// serverToWire encodes a server record. Times are sent as ages, since the VMs' clocks differ.
+func serverToWire(s directory.Server, now time.Time) *daisyhatchv1.AnnouncedServer {
 	return &daisyhatchv1.AnnouncedServer{
 		Id: s.ID, BornUnixMs: s.Born, Sequence: s.Sequence, Service: s.Service, Address: s.Address,
 		FailureDomain: s.Domain, State: daisyhatchv1.AnnouncedState(s.State), Slots: uint32(max(s.Slots, 0)),
@@ -17,7 +17,7 @@
 	}
 }
 
-func fromWire(s *daisyhatchv1.AnnouncedServer, now time.Time) directory.Server {
+func serverFromWire(s *daisyhatchv1.AnnouncedServer, now time.Time) directory.Server {
 	v := directory.Server{
 		ID: s.GetId(), Born: s.GetBornUnixMs(), Sequence: s.GetSequence(), Service: s.GetService(), Address: s.GetAddress(),
 		Domain: s.GetFailureDomain(), State: directory.State(s.GetState()), Slots: int(s.GetSlots()),
@@ -29,18 +29,18 @@
 	return v
 }
 
-func allFromWire(list []*daisyhatchv1.AnnouncedServer, now time.Time) []directory.Server {
+func serversFromWire(list []*daisyhatchv1.AnnouncedServer, now time.Time) []directory.Server {
 	out := make([]directory.Server, 0, len(list))
 	for _, s := range list {
-		out = append(out, fromWire(s, now))
+		out = append(out, serverFromWire(s, now))
 	}
 	return out
 }
 
-func allToWire(list []directory.Server, now time.Time) []*daisyhatchv1.AnnouncedServer {
+func serversToWire(list []directory.Server, now time.Time) []*daisyhatchv1.AnnouncedServer {
 	out := make([]*daisyhatchv1.AnnouncedServer, 0, len(list))
 	for _, s := range list {
-		out = append(out, toWire(s, now))
+		out = append(out, serverToWire(s, now))
 	}
 	return out
 }
--- a/pkg/fleet/entries.go
+++ b/pkg/fleet/entries.go
@@ -7,39 +7,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// entriesKept is how long an entry VM counts after it was last told of: longer than a restart or a cut takes, since it
-// may go on sending meanwhile.
-const entriesKept = 60 * time.Second
+// entrySourceTTL is how long the entry VMs reported by a control VM count after its last message: longer than a
+// restart or a network partition takes, since they may go on sending requests meanwhile.
+const entrySourceTTL = 60 * time.Second
 
-// EntryID is an entry VM's id in the shares of bounds: the hash of its name. A VM hears of every other one, so that short
-// ids keep what 300 VMs hear of 300 small.
+// EntryID returns an entry VM's id, used to share limits among entry VMs: a hash of its name. Every VM receives the
+// ids of all others; short ids keep these lists small with 300 VMs.
 func EntryID(vm string) uint64 { return xxhash.Sum64String(vm) }
 
-// entryBook holds the entry VMs that control VMs told of. It isn't safe for concurrent use.
-type entryBook struct {
+// entryTable holds the entry VMs that control VMs reported. It isn't safe for concurrent use.
+type entryTable struct {
 	sources map[string]*entrySource
-	// changes grows with each change of a source.
+	// changes is incremented with each update of a source.
 	changes uint64
-	// list is the union at listed changes; it holds until expires.
+	// list is the union of all sources when changes was listed; it is valid until expires.
 	list    []uint64
 	listed  uint64
 	expires time.Time
 }
 
-// entrySource is what one control VM told.
+// entrySource is the set of entry VMs that one control VM reported, and when it last sent a message.
 type entrySource struct {
-	ids map[uint64]bool
-	at  time.Time
+	ids       map[uint64]bool
+	updatedAt time.Time
 }
 
-func newEntryBook() entryBook { return entryBook{sources: make(map[string]*entrySource)} }
+func newEntryTable() entryTable { return entryTable{sources: make(map[string]*entrySource)} }
 
-// update takes over what a control VM told; complete means that it told of all.
-func (b *entryBook) update(control string, added, removed []uint64, complete bool, now time.Time) {
-	s := b.sources[control]
+// update records the entry VMs that a control VM reported. complete means that added is its full list.
+func (t *entryTable) update(control string, added, removed []uint64, complete bool, now time.Time) {
+	s := t.sources[control]
 	if s == nil || complete {
 		s = &entrySource{ids: make(map[uint64]bool, len(added))}
-		b.sources[control] = s
+		t.sources[control] = s
 	}
 	for _, id := range added {
 		s.ids[id] = true
@@ -47,54 +47,55 @@
 	for _, id := range removed {
 		delete(s.ids, id)
 	}
-	s.at = now
-	b.changes++
+	s.updatedAt = now
+	t.changes++
 }
 
-func (b *entryBook) heard(control string, now time.Time) {
-	if s := b.sources[control]; s != nil {
-		s.at = now
+// touch records that the entry VMs that a control VM reported are still valid.
+func (t *entryTable) touch(control string, now time.Time) {
+	if s := t.sources[control]; s != nil {
+		s.updatedAt = now
 	}
 }
 
-// all returns the ids that any source told of within entriesKept, sorted. The list must not be changed.
-func (b *entryBook) all(now time.Time) []uint64 {
-	if b.listed == b.changes && now.Before(b.expires) {
-		return b.list
+// all returns the ids that any source reported within entrySourceTTL, sorted. The caller must not change the list.
+func (t *entryTable) all(now time.Time) []uint64 {
+	if t.listed == t.changes && now.Before(t.expires) {
+		return t.list
 	}
 	union := make(map[uint64]bool)
-	b.expires = now.Add(entriesKept)
-	for control, s := range b.sources {
-		if now.Sub(s.at) > entriesKept {
-			delete(b.sources, control)
+	t.expires = now.Add(entrySourceTTL)
+	for control, s := range t.sources {
+		if now.Sub(s.updatedAt) > entrySourceTTL {
+			delete(t.sources, control)
 			continue
 		}
-		if end := s.at.Add(entriesKept); end.Before(b.expires) {
-			b.expires = end
+		if end := s.updatedAt.Add(entrySourceTTL); end.Before(t.expires) {
+			t.expires = end
 		}
 		for id := range s.ids {
 			union[id] = true
 		}
 	}
-	b.list = make([]uint64, 0, len(union))
+	t.list = make([]uint64, 0, len(union))
 	for id := range union {
-		b.list = append(b.list, id)
+		t.list = append(t.list, id)
 	}
-	slices.Sort(b.list)
-	b.listed = b.changes
-	return b.list
+	slices.Sort(t.list)
+	t.listed = t.changes
+	return t.list
 }
 
-// difference returns what must be added to and removed from the sorted list old to make it the sorted list now.
-func difference(old, now []uint64) (added, removed []uint64) {
+// diffSorted returns the ids to add to and to remove from the sorted list old to obtain the sorted list updated.
+func diffSorted(old, updated []uint64) (added, removed []uint64) {
 	i, k := 0, 0
-	for i < len(old) || k < len(now) {
+	for i < len(old) || k < len(updated) {
 		switch {
-		case k == len(now) || i < len(old) && old[i] < now[k]:
+		case k == len(updated) || i < len(old) && old[i] < updated[k]:
 			removed = append(removed, old[i])
 			i++
-		case i == len(old) || now[k] < old[i]:
-			added = append(added, now[k])
+		case i == len(old) || updated[k] < old[i]:
+			added = append(added, updated[k])
 			k++
 		default:
 			i++
--- a/pkg/fleet/feed.go
+++ b/pkg/fleet/feed.go
@@ -12,28 +12,28 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// Follow implements FleetService: it streams what this VM knows, first whole, then changes, and a heartbeat at least
-// every followHeartbeat.
+// Follow implements FleetService. It streams what this VM knows: everything in the first message, then changes, and a
+// heartbeat at least every followHeartbeat.
 func (c *Control) Follow(
 	ctx context.Context, req *connect.Request[daisyhatchv1.FollowRequest],
 	stream *connect.ServerStream[daisyhatchv1.FollowResponse],
 ) error {
 	if req.Msg.GetEntry() {
-		c.addFollower(req.Msg)
-		defer c.dropFollower(req.Msg)
+		c.addFollowerStream(req.Msg)
+		defer c.removeFollowerStream(req.Msg)
 	}
 	if a := req.Msg.GetPeerAddress(); a != "" {
 		c.opts.Roster.Name([]string{a}, time.Now())
 	}
-	f, pause := &feed{control: c, refresh: refreshInterval, peer: req.Msg.GetPeerAddress() != ""}, followBatch
+	f, pause := &feed{control: c, refresh: refreshInterval, peer: req.Msg.GetPeerAddress() != ""}, entryBatchDelay
 	if f.peer {
-		f.refresh, pause = peerRefreshInterval, peerBatch
+		f.refresh, pause = peerRefreshInterval, peerBatchDelay
 	}
 	tick := time.NewTicker(followHeartbeat)
 	defer tick.Stop()
 	for {
 		changed := c.opts.State.Changed()
-		if err := c.tell(ctx, f, stream); err != nil {
+		if err := c.sendNext(ctx, f, stream); err != nil {
 			return err
 		}
 		select {
@@ -51,45 +51,47 @@
 }
 
 const (
-	// joinsAtOnce is how many followers are told of all servers at the same time: 3,000 servers take about 2.5 MB for each
-	// while they are encoded, and 300 VMs may start together.
-	joinsAtOnce = 4
-	// joinPatience is how long one that takes its first message slowly keeps others waiting.
-	joinPatience = 500 * time.Millisecond
+	// maxConcurrentSnapshots is how many followers are sent all servers at the same time: encoding 3,000 servers
+	// takes about 2.5 MB for each, and 300 VMs may start together.
+	maxConcurrentSnapshots = 4
+	// snapshotSlotTimeout is how long a follower that reads its first message slowly keeps others waiting.
+	snapshotSlotTimeout = 500 * time.Millisecond
 )
 
-// tell sends the next message. First messages are sent a few at a time.
-func (c *Control) tell(ctx context.Context, f *feed, stream *connect.ServerStream[daisyhatchv1.FollowResponse]) error {
-	if f.started {
+// sendNext sends the next message. A follower's first message needs a snapshot slot.
+func (c *Control) sendNext(ctx context.Context, f *feed, stream *connect.ServerStream[daisyhatchv1.FollowResponse]) error {
+	if f.snapshotSent {
 		return stream.Send(f.next(time.Now()))
 	}
-	leave, err := c.admitJoin(ctx)
+	release, err := c.acquireSnapshotSlot(ctx)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 	return stream.Send(f.next(time.Now()))
 }
 
-// admitJoin waits until a follower may be told of all servers. leave, or joinPatience, lets the next one in.
-func (c *Control) admitJoin(ctx context.Context) (leave func(), err error) {
+// acquireSnapshotSlot waits for a snapshot slot. The slot is freed by release, or after snapshotSlotTimeout.
+func (c *Control) acquireSnapshotSlot(ctx context.Context) (release func(), err error) {
 	select {
-	case c.joins <- struct{}{}:
+	case c.snapshotSlots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	free := sync.OnceFunc(func() { <-c.joins })
-	late := time.AfterFunc(joinPatience, free)
+	free := sync.OnceFunc(func() { <-c.snapshotSlots })
+	timer := time.AfterFunc(snapshotSlotTimeout, free)
 	return func() {
-		late.Stop()
+		timer.Stop()
 		free()
 	}, nil
 }
 
-// followerKept is how long an entry VM counts after its streams ended, since one that was cut off goes on sending.
-const followerKept = 30 * time.Second
+// followerTTL is how long an entry VM still counts after its streams ended, since one that was cut off goes on
+// sending requests.
+const followerTTL = 30 * time.Second
 
-func (c *Control) addFollower(r *daisyhatchv1.FollowRequest) {
+// addFollowerStream records that an entry VM opened a stream.
+func (c *Control) addFollowerStream(r *daisyhatchv1.FollowRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := EntryID(r.GetVm())
@@ -97,165 +99,174 @@
 	f.streams++
 	c.followers[id] = f
 	if !known {
-		c.following++
+		c.followersVersion++
 	}
 }
 
-func (c *Control) dropFollower(r *daisyhatchv1.FollowRequest) {
+// removeFollowerStream records that a stream of an entry VM ended.
+func (c *Control) removeFollowerStream(r *daisyhatchv1.FollowRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := EntryID(r.GetVm())
 	f := c.followers[id]
 	f.streams--
-	f.left = time.Now()
+	f.endedAt = time.Now()
 	c.followers[id] = f
 }
 
-// expireFollowers forgets entry VMs whose streams ended long ago.
+// expireFollowers removes entry VMs whose streams ended more than followerTTL ago.
 func (c *Control) expireFollowers(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, f := range c.followers {
-		if f.streams <= 0 && now.Sub(f.left) > followerKept {
+		if f.streams <= 0 && now.Sub(f.endedAt) > followerTTL {
 			delete(c.followers, id)
-			c.following++
+			c.followersVersion++
 		}
 	}
 }
 
-// entries returns the entry VMs that a follower hears of, sorted: those that follow this VM, and for entry VMs those that
-// follow the other control VMs too. The count grows with each change.
-func (c *Control) entries(peer bool, now time.Time) (ids []uint64, count uint64) {
+// entryIDs returns the ids of the entry VMs to send to a follower, sorted: those that follow this VM, and for entry
+// VMs also those that follow the other control VMs. count grows with each change.
+func (c *Control) entryIDs(peer bool, now time.Time) (ids []uint64, count uint64) {
 	c.mu.Lock()
 	ids = slices.Sorted(maps.Keys(c.followers))
-	count = c.following
+	count = c.followersVersion
 	c.mu.Unlock()
 	if peer {
 		return ids, count
 	}
 	ids = append(ids, c.opts.State.Entries(now)...)
 	slices.Sort(ids)
-	return slices.Compact(ids), count + c.opts.State.entriesChange()
+	return slices.Compact(ids), count + c.opts.State.entriesVersion()
 }
 
-func (c *Control) entriesCount(peer bool) uint64 {
+// entryIDsVersion returns the count of entryIDs without the list.
+func (c *Control) entryIDsVersion(peer bool) uint64 {
 	c.mu.Lock()
-	count := c.following
+	count := c.followersVersion
 	c.mu.Unlock()
 	if !peer {
-		count += c.opts.State.entriesChange()
+		count += c.opts.State.entriesVersion()
 	}
 	return count
 }
 
-// feed is what one follower has been told.
+// feed is the state of one follow stream: what the follower has been sent.
 type feed struct {
 	control *Control
+	// refresh is the time between two messages that tell which servers are alive.
 	refresh time.Duration
-	peer    bool
-	started bool
-	number  uint64
-	version uint64
-	owners  uint64
-	// suspects is the version of the list of suspects that was told.
-	suspects uint64
-	// count, direct and heard are up to which change count it was told of changes, of announcements to this VM, and of all
-	// that was heard; heardAt and allAt are when it was told of the latter two.
-	count   uint64
-	direct  uint64
-	heard   uint64
-	heardAt time.Time
-	allAt   time.Time
-	// addresses and rosterAt are what was told of the control VMs, and when.
+	// peer is true if the follower is a control VM.
+	peer bool
+	// snapshotSent is true once the first message was made.
+	snapshotSent bool
+	// revision, configVersion, ownersVersion and suspectsVersion are the versions last sent of the replicated state, the
+	// configuration, the owners of stage calls and the list of suspects.
+	revision        uint64
+	configVersion   uint64
+	ownersVersion   uint64
+	suspectsVersion uint64
+	// count, announcedCount and heardCount are the change counts up to which the follower was sent changed servers,
+	// servers that announced themselves to this VM, and all servers heard of. refreshedAt is when it was last told which servers
+	// are alive, and relayedAt when it was last sent all servers heard of.
+	count          uint64
+	announcedCount uint64
+	heardCount     uint64
+	refreshedAt    time.Time
+	relayedAt      time.Time
+	// addresses are the control VMs last sent, and rosterAt is when.
 	addresses []string
 	rosterAt  time.Time
-	// entries are the entry VMs told of, at the count entriesCount; entriesAt is when, zero before the first time.
-	entries      []uint64
-	entriesCount uint64
-	entriesAt    time.Time
+	// entryIDs are the entry VMs last sent and entryIDsVersion is their count from entryIDs; entriesAt is when they
+	// were sent, zero before the first time.
+	entryIDs        []uint64
+	entryIDsVersion uint64
+	entriesAt       time.Time
 }
 
-// fillRoster adds the control VMs when they changed, and from time to time.
+// fillRoster adds the control VMs if they changed, and every rosterRefreshInterval.
 func (f *feed) fillRoster(m *daisyhatchv1.FollowResponse, now time.Time) {
 	addresses := f.control.controlAddresses(now)
-	if slices.Equal(addresses, f.addresses) && now.Sub(f.rosterAt) < rosterRefresh {
+	if slices.Equal(addresses, f.addresses) && now.Sub(f.rosterAt) < rosterRefreshInterval {
 		return
 	}
 	f.addresses, f.rosterAt = addresses, now
 	m.ControlAddresses = addresses
 }
 
-// fillEntries adds which entry VMs came and went.
+// fillEntries adds the entry VMs that were added or removed since the last message.
 func (f *feed) fillEntries(m *daisyhatchv1.FollowResponse, now time.Time) {
 	c := f.control
 	first := f.entriesAt.IsZero()
-	if now.Sub(c.started) < entriesSettle && !f.peer || now.Sub(f.entriesAt) < entriesInterval ||
-		!first && c.entriesCount(f.peer) == f.entriesCount {
+	if now.Sub(c.started) < entriesStartupDelay && !f.peer || now.Sub(f.entriesAt) < entriesInterval ||
+		!first && c.entryIDsVersion(f.peer) == f.entryIDsVersion {
 		return
 	}
-	ids, count := c.entries(f.peer, now)
-	m.EntriesAdded, m.EntriesRemoved = difference(f.entries, ids)
+	ids, count := c.entryIDs(f.peer, now)
+	m.EntriesAdded, m.EntriesRemoved = diffSorted(f.entryIDs, ids)
 	m.EntriesComplete = first
-	f.entries, f.entriesCount, f.entriesAt = ids, count, now
+	f.entryIDs, f.entryIDsVersion, f.entriesAt = ids, count, now
 }
 
+// next returns the next message to the follower, which it takes as sent.
 func (f *feed) next(now time.Time) *daisyhatchv1.FollowResponse {
 	c := f.control
 	view, _ := c.opts.Machine.View()
 	r := view.Revision
-	m := &daisyhatchv1.FollowResponse{Number: r.Number, Version: r.Version, Current: c.isCurrent(now)}
-	if !f.started || r.Number != f.number {
+	m := &daisyhatchv1.FollowResponse{Number: r.Number, Version: r.Version, Current: c.recentlyConfirmed(now)}
+	if !f.snapshotSent || r.Number != f.revision {
 		m.DomainsOut = r.DomainsOut
 	}
-	if n := view.StageOwnersNumber; n != f.owners {
-		f.owners = n
+	if n := view.StageOwnersNumber; n != f.ownersVersion {
+		f.ownersVersion = n
 		for _, o := range view.StageOwners {
 			m.StageOwners = append(m.StageOwners, o.ToWire())
 		}
 	}
-	if v := view.SuspectsVersion; v != f.suspects && !f.peer {
-		f.suspects, m.SuspectsVersion, m.Suspects = v, v, sharedSuspects(view.Suspects)
+	if v := view.SuspectsVersion; v != f.suspectsVersion && !f.peer {
+		f.suspectsVersion, m.SuspectsVersion, m.Suspects = v, v, sharedSuspects(view.Suspects)
 	}
 	f.fillRoster(m, now)
 	f.fillEntries(m, now)
-	if r.Version > f.version {
+	if r.Version > f.configVersion {
 		m.Document = r.Document
 	}
-	f.number, f.version = r.Number, r.Version
+	f.revision, f.configVersion = r.Number, r.Version
 	f.fillServers(m, now)
 	return m
 }
 
-// fillServers adds what the follower must hear of the servers: all at first, then changes, and from time to time which ones
-// were heard. Control VMs hear that of each server with its age, entry VMs only who was silent.
+// fillServers adds servers: all in the first message, then those that changed, and every f.refresh which ones are
+// alive. Control VMs are sent each live server with its age, entry VMs only the ids of silent ones.
 func (f *feed) fillServers(m *daisyhatchv1.FollowResponse, now time.Time) {
 	state := f.control.opts.State
 	switch {
-	case !f.started:
+	case !f.snapshotSent:
 		servers, count := state.all()
-		m.Servers, m.Complete = allToWire(servers, now), true
-		f.started, f.count, f.direct, f.heard, f.heardAt, f.allAt = true, count, count, count, now, now
-	case now.Sub(f.heardAt) >= f.refresh && f.peer:
-		from, stamp := f.direct, stampAnnounced
-		if now.Sub(f.allAt) >= peerRelayInterval {
-			from, stamp = f.heard, stampHeard
+		m.Servers, m.Complete = serversToWire(servers, now), true
+		f.snapshotSent, f.count, f.announcedCount, f.heardCount, f.refreshedAt, f.relayedAt = true, count, count, count, now, now
+	case now.Sub(f.refreshedAt) >= f.refresh && f.peer:
+		from, stamp := f.announcedCount, stampAnnounced
+		if now.Sub(f.relayedAt) >= peerRelayInterval {
+			from, stamp = f.heardCount, stampHeard
 		}
-		servers, count := state.since(f.count, stampChanged)
-		more, _ := state.since(from, stamp)
-		m.Servers = allToWire(append(servers, more...), now)
-		f.count, f.direct, f.heardAt = count, count, now
+		servers, count := state.changedSince(f.count, stampChanged)
+		more, _ := state.changedSince(from, stamp)
+		m.Servers = serversToWire(append(servers, more...), now)
+		f.count, f.announcedCount, f.refreshedAt = count, count, now
 		if stamp == stampHeard {
-			f.heard, f.allAt = count, now
+			f.heardCount, f.relayedAt = count, now
 		}
-	case now.Sub(f.heardAt) >= f.refresh:
-		servers, count := state.since(f.count, stampChanged)
-		m.Servers = allToWire(servers, now)
-		m.Refresh, m.RefreshMs = true, now.Sub(f.heardAt).Milliseconds()
-		m.Silent, f.heard = state.unheard(f.heard)
-		f.count, f.heardAt = count, now
+	case now.Sub(f.refreshedAt) >= f.refresh:
+		servers, count := state.changedSince(f.count, stampChanged)
+		m.Servers = serversToWire(servers, now)
+		m.Refresh, m.RefreshMs = true, now.Sub(f.refreshedAt).Milliseconds()
+		m.Silent, f.heardCount = state.notHeardSince(f.heardCount)
+		f.count, f.refreshedAt = count, now
 	default:
-		servers, count := state.since(f.count, stampChanged)
-		m.Servers = allToWire(servers, now)
+		servers, count := state.changedSince(f.count, stampChanged)
+		m.Servers = serversToWire(servers, now)
 		f.count = count
 	}
 }
--- a/pkg/fleet/refresh_test.go
+++ b/pkg/fleet/feed_test.go
@@ -14,14 +14,14 @@
 	"github.com/daisyhatch/daisyhatch/pkg/directory"
 )
 
-// A follower must keep a server that goes on announcing itself, and drop one that fell silent, without hearing of each
-// one again and again: at 2,800 servers that would cost more than all else.
-func TestFollowerHearsOfServersOnlyWhenTheyChange(t *testing.T) {
+// A follower must keep servers that go on announcing themselves and drop one that fell silent, although only changed servers
+// are sent: sending all of 2,800 servers at each refresh would cost more than everything else.
+func TestFollowStreamSendsOnlyChangedServers(t *testing.T) {
 	now := time.Now()
 	control := NewControl(ControlOptions{State: NewState()}, nil)
 	known := NewState()
 	f := NewFollower(FollowerOptions{State: known, Log: logr.Discard()})
-	s, feed := &follow{}, &feed{control: control, refresh: refreshInterval}
+	s, feed := &followStream{}, &feed{control: control, refresh: refreshInterval}
 	sequence := uint64(0)
 	announce := func(at time.Time, from int) {
 		sequence++
@@ -37,8 +37,8 @@
 	take := func(at time.Time) int {
 		m := &daisyhatchv1.FollowResponse{}
 		feed.fillServers(m, at)
-		known.Merge(allFromWire(m.GetServers(), at))
-		f.refreshAt(s, m, at)
+		known.Merge(serversFromWire(m.GetServers(), at))
+		f.refreshServers(s, m, at)
 		return proto.Size(m)
 	}
 	announce(now, 0)
@@ -49,15 +49,15 @@
 		announce(at, 1)
 		bytes += take(at)
 	}
-	require.Less(t, bytes/30, 1000, "bytes a second of one stream, 14 KB/s are a VM's share for all")
+	require.Less(t, bytes/30, 1000, "bytes a second on one stream; a VM's share for everything is 14 KB/s")
 	end := now.Add(30 * time.Second)
-	require.Len(t, known.Expire(end), 1, "the one that fell silent")
+	require.Len(t, known.Expire(end), 1, "only the silent server expires")
 	require.Len(t, known.Serving("s", end), 2799)
 }
 
-// Control VMs hear each second which servers announced themselves to one another, and every peerRelayInterval of the
-// others: with 3,000 servers, telling all of all each second took most of a core.
-func TestPeersAreToldOfDirectAnnouncementsMoreOften(t *testing.T) {
+// Control VMs send each other the servers that announced themselves to them each second, and all others every
+// peerRelayInterval: with 3,000 servers, sending all of them each second took most of a core.
+func TestPeersAreSentDirectAnnouncementsMoreOften(t *testing.T) {
 	now := time.Now()
 	state := NewState()
 	f := &feed{control: NewControl(ControlOptions{State: state}, nil), refresh: peerRefreshInterval, peer: true}
@@ -65,45 +65,45 @@
 	server := func(id string, sequence uint64, at time.Time) directory.Server {
 		return directory.Server{ID: id, Born: 1, Sequence: sequence, Service: "s", Address: id, State: directory.Ready, Heard: at}
 	}
-	told, direct := 0, 0
+	relayed, direct := 0, 0
 	for second := range 31 {
 		at := now.Add(time.Duration(second) * time.Second)
 		state.Announced(server("direct", uint64(second+1), at))
 		state.Merge([]directory.Server{server("relayed", uint64(second+1), at)})
 		m := &daisyhatchv1.FollowResponse{}
 		f.fillServers(m, at)
-		known.Merge(allFromWire(m.GetServers(), at))
-		require.Empty(t, known.Quieten(at), "%d s", second)
+		known.Merge(serversFromWire(m.GetServers(), at))
+		require.Empty(t, known.Quieten(at), "a server turned quiet after %d s", second)
 		for _, v := range m.GetServers() {
 			if v.GetId() == "direct" {
 				direct++
 			} else {
-				told++
+				relayed++
 			}
 		}
 	}
 	require.Equal(t, 31, direct)
-	require.LessOrEqual(t, told, 12)
+	require.LessOrEqual(t, relayed, 12)
 }
 
-// Whatever one follower takes its first message with, the next ones are told within joinPatience each.
-func TestFirstMessagesAreSentAFewAtATime(t *testing.T) {
+// A follower that reads its first message slowly delays the next one by at most snapshotSlotTimeout.
+func TestConcurrentSnapshotsAreLimited(t *testing.T) {
 	c := NewControl(ControlOptions{State: NewState()}, nil)
-	var leave []func()
-	for range joinsAtOnce {
-		l, err := c.admitJoin(t.Context())
+	var release []func()
+	for range maxConcurrentSnapshots {
+		r, err := c.acquireSnapshotSlot(t.Context())
 		require.NoError(t, err)
-		leave = append(leave, l)
+		release = append(release, r)
 	}
-	soon, cancel := context.WithTimeout(t.Context(), joinPatience/4)
+	ctx, cancel := context.WithTimeout(t.Context(), snapshotSlotTimeout/4)
 	defer cancel()
-	_, err := c.admitJoin(soon)
+	_, err := c.acquireSnapshotSlot(ctx)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
-	leave[0]()
-	_, err = c.admitJoin(t.Context())
+	release[0]()
+	_, err = c.acquireSnapshotSlot(t.Context())
 	require.NoError(t, err)
 	begin := time.Now()
-	_, err = c.admitJoin(t.Context())
-	require.NoError(t, err, "the others have kept it for too long")
-	require.Less(t, time.Since(begin), 2*joinPatience)
+	_, err = c.acquireSnapshotSlot(t.Context())
+	require.NoError(t, err, "a slot held for longer than snapshotSlotTimeout is freed")
+	require.Less(t, time.Since(begin), 2*snapshotSlotTimeout)
 }
--- a/pkg/fleet/follower.go
+++ b/pkg/fleet/follower.go
@@ -17,77 +17,79 @@
 	"github.com/daisyhatch/daisyhatch/pkg/stageowner"
 )
 
-// Times of following.
+// Timeouts and intervals of a Follower.
 const (
-	// followSilence is how long a stream may say nothing: three of its heartbeats.
-	followSilence = 3 * followHeartbeat
-	// followRetry is the pause before a stream is opened again.
-	followRetry = 100 * time.Millisecond
-	// rosterInterval is the time between two looks at the addresses.
+	// streamIdleTimeout is how long a stream may carry no message: three heartbeats.
+	streamIdleTimeout = 3 * followHeartbeat
+	// streamRetryDelay is the pause before a stream is opened again.
+	streamRetryDelay = 100 * time.Millisecond
+	// rosterInterval is how often the addresses to follow are checked.
 	rosterInterval = time.Second
-	// steadySource is how long a stream must have been open until its silence about a server says something.
-	steadySource = 2 * refreshInterval
+	// steadyStreamAge is how long a stream must have been open before a server that is not reported on it counts as
+	// silent.
+	steadyStreamAge = 2 * refreshInterval
 )
 
-// errSilent ends a stream that said nothing for followSilence.
-var errSilent = errors.New("fleet: control VM is silent")
+// errStreamIdle ends a stream that carried no message for streamIdleTimeout.
+var errStreamIdle = errors.New("fleet: no message from the control VM")
 
-// FollowerOptions are what a Follower is made from.
+// FollowerOptions configure a Follower.
 type FollowerOptions struct {
 	VM          string
 	Incarnation string
 	Entry       bool
 	Domain      string
-	// PeerAddress is set on control VMs.
+	// PeerAddress is the peer address of a control VM, IP:port; empty on all other VMs.
 	PeerAddress string
 	State       *State
 	Roster      *Roster
 	Parse       Parse
-	// Suspects is told of the requests under which several servers ended; an entry VM's.
+	// Suspects receives the requests during which several servers crashed. It is called on entry VMs only.
 	Suspects Suspects
 	HTTP     *http.Client
 	Log      logr.Logger
 }
 
-// Follower follows control VMs and keeps the VM's State up to date: a control VM all others, an entry VM followStreams of
-// them.
+// Follower keeps the VM's State up to date over streams from control VMs. A control VM follows all others, an entry
+// VM streamsPerEntryVM of them.
 type Follower struct {
 	opts FollowerOptions
 
-	mu      sync.Mutex
-	sources map[string]*follow
-	// avoided is until when an address that failed is left out while there are others.
-	avoided map[string]time.Time
-	// wake is signalled when a stream ended.
+	mu sync.Mutex
+	// streams are the streams by the control VM's address.
+	streams map[string]*followStream
+	// avoidUntil is the time until which an address whose stream failed is passed over while there are others.
+	avoidUntil map[string]time.Time
+	// wake is signalled when a stream has ended.
 	wake chan struct{}
 }
 
-// follow is the stream from one control VM.
-type follow struct {
+// followStream is the stream from one control VM.
+type followStream struct {
 	cancel context.CancelFunc
-	// opened is when it was first tried.
-	opened time.Time
-	// since is when the stream was opened; zero while it is closed.
-	since time.Time
-	// current is when the control VM last said that the group confirms its state.
-	current time.Time
-	// told are the servers that were told of on the stream.
-	told map[string]bool
+	// startedAt is when it was first tried to open.
+	startedAt time.Time
+	// openedAt is when the stream was opened; zero while it is closed.
+	openedAt time.Time
+	// confirmedAt is when the control VM last said that the group confirms its state.
+	confirmedAt time.Time
+	// serverIDs are the ids of the servers listed on the stream.
+	serverIDs map[string]bool
 }
 
 // NewFollower returns a Follower.
 func NewFollower(o FollowerOptions) *Follower {
-	return &Follower{opts: o, sources: make(map[string]*follow), avoided: make(map[string]time.Time), wake: make(chan struct{}, 1)}
+	return &Follower{opts: o, streams: make(map[string]*followStream), avoidUntil: make(map[string]time.Time), wake: make(chan struct{}, 1)}
 }
 
-// Run follows until ctx ends.
+// Run maintains the streams until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	tick := time.NewTicker(rosterInterval)
 	defer tick.Stop()
 	for {
-		f.open(ctx, &wg)
+		f.updateStreams(ctx, &wg)
 		f.expire()
 		select {
 		case <-ctx.Done():
@@ -99,44 +101,44 @@
 	}
 }
 
-// open starts the streams that are wanted and ends the others.
-func (f *Follower) open(ctx context.Context, wg *sync.WaitGroup) {
+// updateStreams opens the streams to the selected control VMs and closes all others.
+func (f *Follower) updateStreams(ctx context.Context, wg *sync.WaitGroup) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	wanted := f.wanted(f.opts.Roster.Addresses(now), now)
+	wanted := f.selectAddresses(f.opts.Roster.Addresses(now), now)
 	for _, a := range wanted {
-		if f.sources[a] != nil {
+		if f.streams[a] != nil {
 			continue
 		}
 		run, cancel := context.WithCancel(ctx)
-		s := &follow{cancel: cancel, opened: now}
-		f.sources[a] = s
-		wg.Go(func() { f.keep(run, a, s) })
+		s := &followStream{cancel: cancel, startedAt: now}
+		f.streams[a] = s
+		wg.Go(func() { f.maintainStream(run, a, s) })
 	}
-	for a, s := range f.sources {
+	for a, s := range f.streams {
 		if !slices.Contains(wanted, a) {
 			s.cancel()
-			delete(f.sources, a)
+			delete(f.streams, a)
 		}
 	}
 }
 
-// wanted returns the addresses to follow; f.mu is held.
-func (f *Follower) wanted(addresses []string, now time.Time) []string {
+// selectAddresses returns the addresses to follow. f.mu must be held.
+func (f *Follower) selectAddresses(addresses []string, now time.Time) []string {
 	if f.opts.PeerAddress != "" {
 		return addresses
 	}
 	list := make([]streamState, 0, len(addresses))
 	for _, a := range addresses {
-		s := streamState{address: a, avoided: max(0, f.avoided[a].Sub(now))}
-		if src := f.sources[a]; src != nil {
+		s := streamState{address: a, backoff: max(0, f.avoidUntil[a].Sub(now))}
+		if stream := f.streams[a]; stream != nil {
 			s.open = true
-			s.confirmed = !src.since.IsZero() && now.Sub(src.current) < confirmedFor
-			s.failing = !s.confirmed && now.Sub(src.opened) > probation && now.Sub(src.current) > probation
-			s.avoided = 0
+			s.confirmed = !stream.openedAt.IsZero() && now.Sub(stream.confirmedAt) < confirmedFor
+			s.failing = !s.confirmed && now.Sub(stream.startedAt) > unconfirmedTimeout && now.Sub(stream.confirmedAt) > unconfirmedTimeout
+			s.backoff = 0
 			if s.failing {
-				f.avoided[a], s.avoided = now.Add(avoidFor), avoidFor
+				f.avoidUntil[a], s.backoff = now.Add(failedStreamBackoff), failedStreamBackoff
 			}
 		}
 		list = append(list, s)
@@ -144,13 +146,13 @@
 	return chooseStreams(f.opts.VM, list)
 }
 
-// expire drops servers that fell silent, if a control VM has been heard long enough to have told of them.
+// expire drops servers that fell silent, if a stream has been open long enough to have reported them.
 func (f *Follower) expire() {
 	now := time.Now()
 	f.mu.Lock()
 	steady := false
-	for _, s := range f.sources {
-		steady = steady || !s.since.IsZero() && now.Sub(s.since) >= steadySource
+	for _, s := range f.streams {
+		steady = steady || !s.openedAt.IsZero() && now.Sub(s.openedAt) >= steadyStreamAge
 	}
 	f.mu.Unlock()
 	if !steady || f.opts.PeerAddress != "" {
@@ -161,17 +163,18 @@
 	}
 }
 
-// keep follows one control VM. A control VM tries again and again; an entry VM turns to another one.
-func (f *Follower) keep(ctx context.Context, address string, s *follow) {
+// maintainStream keeps the stream to one control VM open. A control VM reopens it until ctx ends; an entry VM drops
+// it once it fails and selects another control VM.
+func (f *Follower) maintainStream(ctx context.Context, address string, s *followStream) {
 	for ctx.Err() == nil {
-		err := f.stream(ctx, address, s)
+		err := f.runStream(ctx, address, s)
 		f.mu.Lock()
-		lost := !s.since.IsZero()
-		s.since = time.Time{}
-		given := f.opts.PeerAddress == "" && f.sources[address] == s
-		if given {
-			delete(f.sources, address)
-			f.avoided[address] = time.Now().Add(avoidFor)
+		lost := !s.openedAt.IsZero()
+		s.openedAt = time.Time{}
+		dropped := f.opts.PeerAddress == "" && f.streams[address] == s
+		if dropped {
+			delete(f.streams, address)
+			f.avoidUntil[address] = time.Now().Add(failedStreamBackoff)
 		}
 		f.mu.Unlock()
 		if lost && ctx.Err() == nil {
@@ -179,9 +182,9 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(followRetry):
+		case <-time.After(streamRetryDelay):
 		}
-		if given {
+		if dropped {
 			s.cancel()
 			f.signal()
 			return
@@ -189,6 +192,7 @@
 	}
 }
 
+// signal makes Run check the streams now.
 func (f *Follower) signal() {
 	select {
 	case f.wake <- struct{}{}:
@@ -196,10 +200,11 @@
 	}
 }
 
-func (f *Follower) stream(ctx context.Context, address string, s *follow) error {
+// runStream opens a stream and applies its messages until it ends or carries none for streamIdleTimeout.
+func (f *Follower) runStream(ctx context.Context, address string, s *followStream) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(followSilence, func() { cancel(errSilent) })
+	watchdog := time.AfterFunc(streamIdleTimeout, func() { cancel(errStreamIdle) })
 	defer watchdog.Stop()
 	req := &daisyhatchv1.FollowRequest{
 		Vm: f.opts.VM, Incarnation: f.opts.Incarnation, Entry: f.opts.Entry, FailureDomain: f.opts.Domain,
@@ -211,27 +216,28 @@
 		return err
 	}
 	defer func() {
-		// The connection is given up with the stream; an error of the close says nothing more.
+		// The stream is discarded; an error on closing it has no further meaning.
 		_ = stream.Close()
 	}()
 	for stream.Receive() {
-		watchdog.Reset(followSilence)
-		f.heard(address, s, stream.Msg().GetCurrent())
-		f.take(address, stream.Msg())
-		f.refreshAt(s, stream.Msg(), time.Now())
+		watchdog.Reset(streamIdleTimeout)
+		f.noteMessage(address, s, stream.Msg().GetCurrent())
+		f.applyMessage(address, stream.Msg())
+		f.refreshServers(s, stream.Msg(), time.Now())
 	}
 	return errors.Join(context.Cause(ctx), stream.Err())
 }
 
-func (f *Follower) heard(address string, s *follow, current bool) {
+// noteMessage records that a message arrived; current is whether the control VM's state is confirmed.
+func (f *Follower) noteMessage(address string, s *followStream, current bool) {
 	now := time.Now()
 	f.mu.Lock()
-	opened := s.since.IsZero()
+	opened := s.openedAt.IsZero()
 	if opened {
-		s.since = now
+		s.openedAt = now
 	}
 	if current {
-		s.current = now
+		s.confirmedAt = now
 	}
 	f.mu.Unlock()
 	if opened {
@@ -239,32 +245,32 @@
 	}
 }
 
-// refreshAt keeps the servers that the control VM goes on hearing, which it doesn't list one by one. Only the stream's own
-// goroutine uses s.told.
-func (f *Follower) refreshAt(s *follow, m *daisyhatchv1.FollowResponse, now time.Time) {
-	if m.GetComplete() || s.told == nil {
-		s.told = make(map[string]bool)
+// refreshServers keeps alive the servers listed on the stream that the control VM still hears, since a refresh names
+// only the silent ones. Only the stream's own goroutine uses s.serverIDs.
+func (f *Follower) refreshServers(s *followStream, m *daisyhatchv1.FollowResponse, now time.Time) {
+	if m.GetComplete() || s.serverIDs == nil {
+		s.serverIDs = make(map[string]bool)
 	}
 	for _, v := range m.GetServers() {
-		s.told[v.GetId()] = true
+		s.serverIDs[v.GetId()] = true
 	}
 	if !m.GetRefresh() {
 		return
 	}
-	f.opts.State.refresh(s.told, m.GetSilent(), now.Add(-time.Duration(m.GetRefreshMs())*time.Millisecond))
+	f.opts.State.refresh(s.serverIDs, m.GetSilent(), now.Add(-time.Duration(m.GetRefreshMs())*time.Millisecond))
 }
 
-// take merges one message.
-func (f *Follower) take(address string, m *daisyhatchv1.FollowResponse) {
+// applyMessage merges one message into the State.
+func (f *Follower) applyMessage(address string, m *daisyhatchv1.FollowResponse) {
 	now := time.Now()
 	state := f.opts.State
 	f.opts.Roster.Name(append(m.GetControlAddresses(), address), now)
 	if m.GetEntriesComplete() || len(m.GetEntriesAdded())+len(m.GetEntriesRemoved()) > 0 {
-		state.setEntries(address, m.GetEntriesAdded(), m.GetEntriesRemoved(), m.GetEntriesComplete(), now)
+		state.updateEntries(address, m.GetEntriesAdded(), m.GetEntriesRemoved(), m.GetEntriesComplete(), now)
 	} else {
-		state.heardEntries(address, now)
+		state.touchEntries(address, now)
 	}
-	state.Merge(allFromWire(m.GetServers(), now))
+	state.Merge(serversFromWire(m.GetServers(), now))
 	if f.opts.PeerAddress != "" {
 		// A control VM's replicated state comes from its own log.
 		return
@@ -276,8 +282,8 @@
 	for _, o := range m.GetStageOwners() {
 		owners = append(owners, stageowner.FromWire(o))
 	}
-	state.learnOwners(owners)
-	if m.GetNumber() > state.Number() && !f.adopt(m, now) {
+	state.mergeOwners(owners)
+	if m.GetNumber() > state.Number() && !f.applyRevision(m, now) {
 		return
 	}
 	if m.GetCurrent() {
@@ -285,8 +291,8 @@
 	}
 }
 
-// adopt takes over a newer replicated state; false when its document is missing or can't be read.
-func (f *Follower) adopt(m *daisyhatchv1.FollowResponse, now time.Time) bool {
+// applyRevision applies a newer replicated state. It returns false if the document is missing or can't be parsed.
+func (f *Follower) applyRevision(m *daisyhatchv1.FollowResponse, now time.Time) bool {
 	var set *catalog.Set
 	known := f.opts.State.Catalog()
 	if m.GetVersion() > 0 && (known == nil || known.Version < m.GetVersion()) {
@@ -305,12 +311,12 @@
 	return true
 }
 
-// Heard reports whether a control VM is heard.
+// Heard reports whether a stream to a control VM is open.
 func (f *Follower) Heard() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.sources {
-		if !s.since.IsZero() {
+	for _, s := range f.streams {
+		if !s.openedAt.IsZero() {
 			return true
 		}
 	}
--- a/pkg/fleet/words_test.go
+++ b/pkg/fleet/holdoff_test.go
@@ -16,18 +16,18 @@
 	return v
 }
 
-// What a server says in an answer counts where servers are chosen and right before a send: a request may have waited for its
-// connection meanwhile.
-func TestServerThatWantsNoCallsIsNeitherChosenNorSentTo(t *testing.T) {
+// A holdoff notice in a server's answer must count when servers are chosen and again right before a send, since a request may
+// have waited for its connection meanwhile.
+func TestServerInHoldoffGetsNoCalls(t *testing.T) {
 	now := time.Now()
 	s := NewState()
 	leaving, busy := announced(s, "leaving", 1, now), announced(s, "busy", 1, now)
 	require.True(t, s.Noticed(leaving, holdoff.Notice{Leaving: true}, now))
-	require.False(t, s.Noticed(leaving, holdoff.Notice{Leaving: true}, now), "no news")
+	require.False(t, s.Noticed(leaving, holdoff.Notice{Leaving: true}, now), "a repeated notice is not new")
 	require.False(t, s.Allowed("leaving"))
 	require.Len(t, s.Serving("s", now), 1)
 	_, wait := s.Back("s", now)
-	require.False(t, wait, "one takes calls")
+	require.False(t, wait, "a server accepts calls now")
 	require.True(t, s.Noticed(busy, holdoff.Notice{Wait: time.Minute}, now))
 	require.False(t, s.Allowed("busy"))
 	require.Empty(t, s.Serving("s", now))
@@ -36,11 +36,11 @@
 	require.Equal(t, time.Minute, back)
 	require.Len(t, s.Serving("s", now.Add(time.Minute)), 1)
 	announced(s, "leaving", 2, now)
-	require.True(t, s.Allowed("leaving"), "another incarnation")
+	require.True(t, s.Allowed("leaving"), "the notice concerned an earlier incarnation")
 }
 
-// The word of a server that its VM has forgotten is kept for a while: a late announcement would bring the server back.
-func TestWordOutlastsTheServersRecord(t *testing.T) {
+// A holdoff notice must outlive the server's record: a late announcement would otherwise bring back a server that is leaving.
+func TestHoldoffOutlivesServerRecord(t *testing.T) {
 	now := time.Now()
 	s := NewState()
 	v := announced(s, "s0", 1, now)
--- a/pkg/fleet/joining.go
+++ b/pkg/fleet/joining.go
@@ -12,14 +12,14 @@
 	"github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1/daisyhatchv1connect"
 )
 
-// join asks the others to be taken into the group while this VM is no voter or obeys no leader.
-func (c *Control) join(ctx context.Context) {
+// requestJoin asks the other control VMs to add this VM to the group while it is no voter or hears from no leader.
+func (c *Control) requestJoin(ctx context.Context) {
 	s := c.opts.Node.Status()
-	if len(s.Membership.GetPeers()) > 0 && !s.Learner && s.Quiet < quietBeforeJoin {
+	if len(s.Membership.GetPeers()) > 0 && !s.Learner && s.Quiet < rejoinAfter {
 		return
 	}
 	req := &daisyhatchv1.JoinRequest{Vm: c.opts.VM, Address: c.opts.Address, Instance: c.opts.Node.Instance()}
-	c.eachPeer(ctx, joinInterval, func(ctx context.Context, cl daisyhatchv1connect.FleetServiceClient) error {
+	c.callPeers(ctx, joinInterval, func(ctx context.Context, cl daisyhatchv1connect.FleetServiceClient) error {
 		res, err := cl.Join(ctx, connect.NewRequest(req))
 		if err == nil {
 			c.opts.Roster.Name(res.Msg.GetControlAddresses(), time.Now())
@@ -28,8 +28,8 @@
 	})
 }
 
-// eachPeer makes a call to all other control VMs at once and returns how many took it.
-func (c *Control) eachPeer(
+// callPeers makes a call to all other control VMs concurrently and returns how many succeeded.
+func (c *Control) callPeers(
 	ctx context.Context, limit time.Duration, call func(context.Context, daisyhatchv1connect.FleetServiceClient) error,
 ) int {
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -39,13 +39,13 @@
 	for _, a := range addresses {
 		go func() { results <- call(ctx, c.client(a)) }()
 	}
-	took := 0
+	succeeded := 0
 	for range addresses {
 		if err := <-results; err == nil {
-			took++
+			succeeded++
 		}
 	}
-	return took
+	return succeeded
 }
 
 func (c *Control) client(address string) daisyhatchv1connect.FleetServiceClient {
@@ -64,7 +64,8 @@
 	return connect.NewResponse(&daisyhatchv1.JoinResponse{ControlAddresses: c.controlAddresses(now)}), nil
 }
 
-// controlAddresses returns the members of the group and the VMs that wait to join.
+// controlAddresses returns the peer addresses of this VM, the members of the group and the VMs that wait to join,
+// sorted.
 func (c *Control) controlAddresses(now time.Time) []string {
 	out := []string{c.opts.Address}
 	for _, p := range c.opts.Node.Status().Membership.GetPeers() {
@@ -72,7 +73,7 @@
 	}
 	c.mu.Lock()
 	for _, j := range c.joiners {
-		if now.Sub(j.Asked) <= joinLife {
+		if now.Sub(j.Asked) <= joinRequestTTL {
 			out = append(out, j.Address)
 		}
 	}
@@ -81,8 +82,8 @@
 	return slices.Compact(out)
 }
 
-// plan makes the next change of the group if this VM leads.
-func (c *Control) plan(ctx context.Context) {
+// planMembership makes the next change to the control group if this VM is the leader.
+func (c *Control) planMembership(ctx context.Context) {
 	silences, err := c.opts.Node.Silences(ctx)
 	if err != nil {
 		return
@@ -97,7 +98,7 @@
 	c.mu.Lock()
 	joiners := slices.Collect(maps.Values(c.joiners))
 	c.mu.Unlock()
-	step := Plan(members, joiners, c.voters(), now)
+	step := Plan(members, joiners, c.targetVoters(), now)
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	switch {
@@ -123,5 +124,5 @@
 	return err.Error()
 }
 
-// voters is the size of the group that bears the losses of disks.
-func (c *Control) voters() int { return 2*c.opts.LossesBorne + 1 }
+// targetVoters is the number of voters of which a majority survives the loss of LossesBorne disks.
+func (c *Control) targetVoters() int { return 2*c.opts.LossesBorne + 1 }
--- a/pkg/fleet/membership.go
+++ b/pkg/fleet/membership.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Times of the plan.
+// Timeouts of membership changes.
 const (
-	// deadAfter is the silence from which a voter counts as dead when another VM can take its place: six times the
-	// election timeout, so that a short freeze doesn't cost a voter its place.
+	// deadAfter is the silence after which a voter counts as dead and may be replaced by another VM: six times the
+	// election timeout, so that a short pause doesn't cost a voter its place.
 	deadAfter = 3 * time.Second
-	// joinLife is how long a VM's wish to join counts; it is repeated every joinInterval.
-	joinLife = 2 * time.Second
+	// joinRequestTTL is how long a join request is valid; a VM repeats it every joinInterval.
+	joinRequestTTL = 2 * time.Second
 )
 
 // Member is a member of the control group as its leader sees it.
@@ -20,11 +20,11 @@
 	VM       string
 	Instance string
 	Learner  bool
-	// Silence is how long the leader has not heard it; 0 for the leader itself.
+	// Silence is the time since the leader last heard from the member; 0 for the leader itself.
 	Silence time.Duration
 }
 
-// Joiner is a VM that asks to take part.
+// Joiner is a VM that asks to join the control group. Asked is when its latest request arrived.
 type Joiner struct {
 	VM       string
 	Address  string
@@ -32,16 +32,17 @@
 	Asked    time.Time
 }
 
-// Step is one change of the control group; at most one field is set.
+// Step is one change to the control group; at most one field is set.
 type Step struct {
 	Add    *Joiner
 	Remove string
 }
 
-// Plan decides the next change of the control group. A data folder that was lost never counts again: its VM is removed
-// and joins under its new identity. A dead voter is removed only when a VM waits to take its place, or when there are
-// more voters than the target, so that the group never shrinks because of silence alone. The dead one goes before the new
-// one comes: the quorum then never needs more live voters than before.
+// Plan decides the next change to the control group. A member that asks to join as another instance has lost its data
+// folder, which never counts again: the member is removed and joins under its new identity. A dead voter is removed
+// only when a VM waits to take its place, or when there are more voters than target, so that the group never shrinks
+// because of silence alone. It is removed before the new voter is added: the quorum then never needs more live voters
+// than before.
 func Plan(members []Member, joiners []Joiner, target int, now time.Time) Step {
 	voters := 0
 	byVM := make(map[string]Member, len(members))
@@ -51,7 +52,7 @@
 			voters++
 		}
 	}
-	waiting := slices.DeleteFunc(slices.Clone(joiners), func(j Joiner) bool { return now.Sub(j.Asked) > joinLife })
+	waiting := slices.DeleteFunc(slices.Clone(joiners), func(j Joiner) bool { return now.Sub(j.Asked) > joinRequestTTL })
 	slices.SortFunc(waiting, func(a, b Joiner) int { return cmp.Compare(a.VM, b.VM) })
 	for _, j := range waiting {
 		if m, ok := byVM[j.VM]; ok && m.Instance != j.Instance {
@@ -69,7 +70,7 @@
 	return Step{}
 }
 
-// longestSilent returns the member that counts as dead and was silent for longest; empty when there is none.
+// longestSilent returns the dead member that has been silent longest; empty if there is none.
 func longestSilent(members []Member) string {
 	vm, longest := "", deadAfter
 	for _, m := range members {
--- a/pkg/fleet/membership_test.go
+++ b/pkg/fleet/membership_test.go
@@ -9,41 +9,41 @@
 	"pgregory.net/rapid"
 )
 
-var planNow = time.Unix(5000, 0)
+var testTime = time.Unix(5000, 0)
 
 func member(vm string, silence time.Duration) Member {
 	return Member{VM: vm, Instance: "disk-" + vm, Silence: silence}
 }
 
 func joiner(vm, instance string) Joiner {
-	return Joiner{VM: vm, Address: vm + ":1", Instance: instance, Asked: planNow}
+	return Joiner{VM: vm, Address: vm + ":1", Instance: instance, Asked: testTime}
 }
 
 func TestPlan(t *testing.T) {
 	three := []Member{member("a", 0), member("b", 0), member("c", 0)}
 	five := append(three[:3:3], member("d", 0), member("e", 0))
-	oneDead := append(five[:4:4], member("e", deadAfter))
+	withDeadVoter := append(five[:4:4], member("e", deadAfter))
 	cases := map[string]struct {
 		members []Member
 		joiners []Joiner
 		add     string
 		remove  string
 	}{
-		"nothing to do":                      {members: five},
-		"the group grows to its size":        {members: three, joiners: []Joiner{joiner("d", "x")}, add: "d"},
-		"silence alone removes nobody":       {members: oneDead},
-		"the dead one goes first":            {members: oneDead, joiners: []Joiner{joiner("f", "x")}, remove: "e"},
-		"a VM that lost its disk is removed": {members: five, joiners: []Joiner{joiner("b", "new disk")}, remove: "b"},
-		"a member that asks again is left":   {members: five, joiners: []Joiner{joiner("b", "disk-b")}},
-		"planned: the new one comes first":   {members: five, joiners: []Joiner{joiner("f", "x")}, add: "f"},
-		"planned: then the old one goes":     {members: append(oneDead[:5:5], member("f", 0)), remove: "e"},
-		"an old wish doesn't count": {members: three, joiners: []Joiner{
-			{VM: "d", Instance: "x", Asked: planNow.Add(-joinLife - 1)},
+		"full group without requests is unchanged":              {members: five},
+		"small group adds a VM":                                 {members: three, joiners: []Joiner{joiner("d", "x")}, add: "d"},
+		"silent voter stays without a replacement":              {members: withDeadVoter},
+		"dead voter is removed before its replacement is added": {members: withDeadVoter, joiners: []Joiner{joiner("f", "x")}, remove: "e"},
+		"member with a new instance is removed":                 {members: five, joiners: []Joiner{joiner("b", "new disk")}, remove: "b"},
+		"member with the same instance stays":                   {members: five, joiners: []Joiner{joiner("b", "disk-b")}},
+		"full group without a dead voter adds the new VM":       {members: five, joiners: []Joiner{joiner("f", "x")}, add: "f"},
+		"dead voter above the target is removed":                {members: append(withDeadVoter[:5:5], member("f", 0)), remove: "e"},
+		"expired join request is ignored": {members: three, joiners: []Joiner{
+			{VM: "d", Instance: "x", Asked: testTime.Add(-joinRequestTTL - 1)},
 		}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := Plan(c.members, c.joiners, 5, planNow)
+			s := Plan(c.members, c.joiners, 5, testTime)
 			require.Equal(t, c.remove, s.Remove)
 			if c.add == "" {
 				require.Nil(t, s.Add)
@@ -55,9 +55,9 @@
 	}
 }
 
-// The group never falls below four of five voters whatever joins and dies, so that a majority holds what two lost disks
-// take away.
-func TestPlanKeepsAMajorityAboveTheLossesBorne(t *testing.T) {
+// Whatever VMs join and fail, the group keeps at least four of its five voters, so that committed state survives the loss of
+// two disks.
+func TestPlanKeepsFourOfFiveVoters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := map[string]Member{}
 		for _, vm := range []string{"a", "b", "c", "d", "e"} {
@@ -75,7 +75,7 @@
 				}
 				list = append(list, m)
 			}
-			s := Plan(list, joiners, 5, planNow)
+			s := Plan(list, joiners, 5, testTime)
 			switch {
 			case s.Add != nil:
 				members[s.Add.VM] = member(s.Add.VM, 0)
@@ -83,7 +83,7 @@
 				delete(members, s.Remove)
 			}
 			if len(members) < 4 {
-				t.Fatalf("%d members left", len(members))
+				t.Fatalf("group shrank to %d members, want at least 4", len(members))
 			}
 		}
 	})
--- a/pkg/fleet/owners.go
+++ b/pkg/fleet/owners.go
@@ -10,19 +10,19 @@
 	"github.com/daisyhatch/daisyhatch/pkg/stageowner"
 )
 
-// ownerWatch is what a leader keeps to plan the owners of stage calls. Only assignOwners uses it.
-type ownerWatch struct {
-	// since is from when each member has been heard without a gap.
+// ownerPlanState is what a leader remembers to plan the owners of stage calls. Only assignOwners uses it.
+type ownerPlanState struct {
+	// since is the time from which each member, by address, has been heard without a gap.
 	since map[string]time.Time
-	// changedAt is when the leader last changed an owner, or began to lead.
+	// changedAt is when the leader last changed an owner, or became the leader.
 	changedAt time.Time
 }
 
-// assignOwners changes the owners of stage calls if this VM leads.
+// assignOwners changes the owners of stage calls if this VM is the leader.
 func (c *Control) assignOwners(ctx context.Context) {
 	silences, err := c.opts.Node.Silences(ctx)
 	if err != nil {
-		c.owners = ownerWatch{}
+		c.owners = ownerPlanState{}
 		return
 	}
 	now := time.Now()
@@ -35,7 +35,7 @@
 	}
 }
 
-// ownerMembers returns the voters with what the leader knows of them.
+// ownerMembers returns the voters with their silence and how long they have been heard without a gap.
 func (c *Control) ownerMembers(silences map[string]time.Duration, now time.Time) []stageowner.Member {
 	w := &c.owners
 	if w.since == nil {
@@ -72,16 +72,18 @@
 	return out
 }
 
+// changeOwner proposes one change of an owner and logs the result.
 func (c *Control) changeOwner(ctx context.Context, ch stageowner.Change) {
 	cmd := &daisyhatchv1.StageOwnerCommand{
 		Service: ch.Service, Address: ch.Address, BaseTerm: ch.BaseTerm, Orderly: ch.Orderly,
 	}
-	r, err := c.proposeAnyway(ctx, &daisyhatchv1.Command{Body: &daisyhatchv1.Command_StageOwner{StageOwner: cmd}})
+	r, err := c.proposeUnchecked(ctx, &daisyhatchv1.Command{Body: &daisyhatchv1.Command_StageOwner{StageOwner: cmd}})
 	c.opts.Log.Info("owner of stage calls changed", "service", ch.Service, "owner", ch.Address, "term", ch.BaseTerm+1,
 		"orderly", ch.Orderly, "accepted", r.GetStageOwner().GetAccepted(), "error", errorText(err))
 }
 
-// ReleaseStages gives the services back whose calls this VM forms, before it stops. It goes on with the jobs that it has.
+// ReleaseStages gives up ownership of the services whose stage calls this VM makes, before it stops. It completes the
+// jobs that it already has.
 func (c *Control) ReleaseStages(ctx context.Context) {
 	view, _ := c.opts.Machine.View()
 	for _, o := range view.StageOwners {
@@ -91,8 +93,9 @@
 	}
 }
 
-// owns reports whether this VM may take a job of a service from a caller that takes it for the owner under a term. A
-// caller may know of a change that this VM has not applied yet; what it knows was agreed on.
+// owns reports whether this VM may accept a job of a service from a caller that takes it for the owner under a term,
+// and returns the owner known here. A caller's higher term is trusted: the group agreed on a change that this VM has
+// not applied yet.
 func (c *Control) owns(service string, term uint64) (stageowner.Owner, bool) {
 	o, _ := c.opts.State.StageOwner(service)
 	if term > o.Term {
@@ -101,11 +104,12 @@
 	return o, o.Address == c.opts.Address
 }
 
-// MayFormCalls reports whether this VM may make stage calls now: the leader confirmed it a moment ago, so that no other
-// VM owns the same services yet. It must be asked right before a call, since the process may have been paused.
+// MayFormCalls reports whether this VM may make stage calls now: the leader confirmed its state within
+// stageowner.LostAfter, so no other VM owns the same services yet. It must be checked right before a call, since the
+// process may have been paused.
 func (c *Control) MayFormCalls() bool {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.confirmed.IsZero() && now.Sub(c.confirmed) < stageowner.LostAfter
+	return !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) < stageowner.LostAfter
 }
--- a/pkg/fleet/owners_test.go
+++ b/pkg/fleet/owners_test.go
@@ -9,48 +9,48 @@
 	"github.com/daisyhatch/daisyhatch/pkg/stageowner"
 )
 
-// A VM that was paused, or cut off, must not go on as the owner of stage calls: the leader has named another one by then.
-func TestVMThatWasNotConfirmedLatelyFormsNoCalls(t *testing.T) {
+// A VM that was paused or cut off must not go on making stage calls: the leader has assigned another owner by then.
+func TestMayFormCallsNeedsRecentConfirmation(t *testing.T) {
 	c := &Control{}
 	require.False(t, c.MayFormCalls(), "before the first confirmation")
-	c.confirmed = time.Now()
+	c.confirmedAt = time.Now()
 	require.True(t, c.MayFormCalls())
-	c.confirmed = time.Now().Add(-stageowner.LostAfter)
+	c.confirmedAt = time.Now().Add(-stageowner.LostAfter)
 	require.False(t, c.MayFormCalls())
-	require.Less(t, 2*confirmInterval, stageowner.LostAfter, "one confirmation that is missed changes nothing")
+	require.Less(t, 2*confirmInterval, stageowner.LostAfter, "one missed confirmation must not stop stage calls")
 }
 
-func TestJobsAreTakenByTheOwnerOnly(t *testing.T) {
+func TestOnlyOwnerAcceptsJobs(t *testing.T) {
 	state := NewState()
 	c := &Control{opts: ControlOptions{State: state, Address: "a"}}
 	_, ok := c.owns("s", 0)
 	require.False(t, ok, "the service has no owner")
-	state.learnOwners([]stageowner.Owner{{Service: "s", Address: "b", Term: 2}})
+	state.mergeOwners([]stageowner.Owner{{Service: "s", Address: "b", Term: 2}})
 	o, ok := c.owns("s", 2)
 	require.False(t, ok)
-	require.Equal(t, "b", o.Address, "the caller is told who is")
+	require.Equal(t, "b", o.Address, "the current owner is returned to the caller")
 	_, ok = c.owns("s", 3)
-	require.True(t, ok, "the caller knows of a change that this VM has yet to apply")
-	state.learnOwners([]stageowner.Owner{{Service: "s", Address: "a", Term: 3}, {Service: "s", Address: "b", Term: 1}})
+	require.True(t, ok, "the caller knows of a change that this VM has not applied yet")
+	state.mergeOwners([]stageowner.Owner{{Service: "s", Address: "a", Term: 3}, {Service: "s", Address: "b", Term: 1}})
 	_, ok = c.owns("s", 1)
-	require.True(t, ok, "the caller has yet to hear of the change")
+	require.True(t, ok, "the caller doesn't know of the change yet")
 }
 
-// Followers must hear of a new owner at once, not with the next heartbeat: their jobs wait for it.
-func TestNewOwnerIsNews(t *testing.T) {
+// Followers must be sent a new owner at once, not with the next heartbeat, since their jobs wait for it.
+func TestNewOwnerWakesFollowers(t *testing.T) {
 	state := NewState()
-	news := state.Changed()
-	state.learnOwners([]stageowner.Owner{{Service: "s", Address: "a", Term: 1}})
+	changed := state.Changed()
+	state.mergeOwners([]stageowner.Owner{{Service: "s", Address: "a", Term: 1}})
 	select {
-	case <-news:
+	case <-changed:
 	default:
-		t.Fatal("followers wait for the next heartbeat")
+		t.Fatal("a new owner did not wake followers")
 	}
-	news = state.Changed()
-	state.learnOwners([]stageowner.Owner{{Service: "s", Address: "a", Term: 1}})
+	changed = state.Changed()
+	state.mergeOwners([]stageowner.Owner{{Service: "s", Address: "a", Term: 1}})
 	select {
-	case <-news:
-		t.Fatal("nothing has changed")
+	case <-changed:
+		t.Fatal("an owner that is already known woke followers")
 	default:
 	}
 }
--- a/pkg/fleet/roster.go
+++ b/pkg/fleet/roster.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// rosterKept is how long a control VM's address is tried after it was last named or reached.
-const rosterKept = 120 * time.Second
+// rosterTTL is how long a control VM's address is tried after it was last reported or reached.
+const rosterTTL = 120 * time.Second
 
-// Roster holds the peer addresses of control VMs: the seeds of the settings, and what control VMs name. It outlives all
-// seeds. It is safe for concurrent use.
+// Roster holds the peer addresses of control VMs: the configured seeds, and those that control VMs report, so that
+// the group is found even when all seeds are gone. It is safe for concurrent use.
 type Roster struct {
 	own string
 
 	mu    sync.Mutex
 	seeds []string
-	named map[string]time.Time
-	wake  chan struct{}
+	// lastSeen is when each address was last reported or reached.
+	lastSeen map[string]time.Time
+	// wake is signalled when an address was added or the seeds changed.
+	wake chan struct{}
 }
 
-// NewRoster returns a Roster without the VM's own address.
+// NewRoster returns a Roster with seeds that leaves out the VM's own address.
 func NewRoster(own string, seeds []string) *Roster {
-	return &Roster{own: own, seeds: seeds, named: make(map[string]time.Time), wake: make(chan struct{}, 1)}
+	return &Roster{own: own, seeds: seeds, lastSeen: make(map[string]time.Time), wake: make(chan struct{}, 1)}
 }
 
 // SetSeeds replaces the seeds.
@@ -34,20 +36,20 @@
 	r.signal()
 }
 
-// Name notes addresses that a control VM named, or that were reached.
+// Name records addresses that a control VM reported, or that were reached.
 func (r *Roster) Name(addresses []string, now time.Time) {
 	r.mu.Lock()
-	news := false
+	added := false
 	for _, a := range addresses {
-		if _, ok := r.named[a]; !ok && a != "" && a != r.own {
-			news = true
+		if _, ok := r.lastSeen[a]; !ok && a != "" && a != r.own {
+			added = true
 		}
 		if a != "" && a != r.own {
-			r.named[a] = now
+			r.lastSeen[a] = now
 		}
 	}
 	r.mu.Unlock()
-	if news {
+	if added {
 		r.signal()
 	}
 }
@@ -69,9 +71,9 @@
 			all[s] = true
 		}
 	}
-	for a, at := range r.named {
-		if now.Sub(at) > rosterKept {
-			delete(r.named, a)
+	for a, at := range r.lastSeen {
+		if now.Sub(at) > rosterTTL {
+			delete(r.lastSeen, a)
 			continue
 		}
 		all[a] = true
--- a/pkg/fleet/stages.go
+++ b/pkg/fleet/stages.go
@@ -10,8 +10,10 @@
 
 // StageRunner runs stage calls for other VMs.
 type StageRunner interface {
-	// Run returns the results; inputsRead is called at most once before that, when nothing reads the inputs any more.
+	// Run runs the stage calls of a request and returns their results. Before that it calls inputsRead at most once,
+	// when the inputs are no longer needed.
 	Run(ctx context.Context, r *daisyhatchv1.StageRunRequest, inputsRead func()) (*daisyhatchv1.StageRunResponse, error)
+	// Free releases the results held under handles.
 	Free(handles []string)
 }
 
@@ -23,23 +25,23 @@
 	if o, ok := c.owns(req.Msg.GetService(), req.Msg.GetOwnerTerm()); !ok {
 		return stream.Send(&daisyhatchv1.StageRunResponse{Owner: o.ToWire()})
 	}
-	type end struct {
+	type outcome struct {
 		res *daisyhatchv1.StageRunResponse
 		err error
 	}
-	read, ended := make(chan struct{}), make(chan end, 1)
+	inputsRead, done := make(chan struct{}), make(chan outcome, 1)
 	go func() {
-		res, err := c.stages.Run(ctx, req.Msg, func() { close(read) })
-		ended <- end{res, err}
+		res, err := c.stages.Run(ctx, req.Msg, func() { close(inputsRead) })
+		done <- outcome{res, err}
 	}()
 	for {
 		select {
-		case <-read:
-			read = nil
+		case <-inputsRead:
+			inputsRead = nil
 			if err := stream.Send(&daisyhatchv1.StageRunResponse{InputsRead: true}); err != nil {
 				return err
 			}
-		case e := <-ended:
+		case e := <-done:
 			if e.err != nil {
 				return connect.NewError(connect.CodeUnavailable, e.err)
 			}
--- a/pkg/fleet/state.go
+++ b/pkg/fleet/state.go
@@ -12,34 +12,36 @@
 	"github.com/daisyhatch/daisyhatch/pkg/stageowner"
 )
 
-// returnCaution is how long the servers of a failure domain that came back count as cold, unless they were heard to be
-// warm since: announcements are older than the return by up to two of their intervals.
-const returnCaution = 2600 * time.Millisecond
+// coldAfterReturn is how long the servers of a failure domain that returned to service count as cold: their last
+// announcements are older than the return by up to two announcement intervals.
+const coldAfterReturn = 2600 * time.Millisecond
 
 // State is what a VM of a fleet knows: the configuration in force, the failure domains out of service, and the backend
 // servers. It is safe for concurrent use.
 type State struct {
-	mu      sync.RWMutex
-	set     *catalog.Set
-	number  uint64
-	out     map[string]time.Time
-	back    map[string]time.Time
-	dir     *directory.Directory
+	mu       sync.RWMutex
+	config   *catalog.Set
+	revision uint64
+	// domainsOut and domainsReturned are when failure domains went out of service and when they returned.
+	domainsOut      map[string]time.Time
+	domainsReturned map[string]time.Time
+	dir             *directory.Directory
+	// changes counts the changes and announcements of servers.
 	changes uint64
-	// stamps are the change counts at which each server was last changed, last announced itself to this VM, and was last
+	// stamps are the change counts at which each server last changed, last announced itself to this VM, and was last
 	// heard of.
-	stamps  [stampKinds]map[string]uint64
-	wake    chan struct{}
-	entries entryBook
-	current time.Time
-	// words are what servers said in their answers to this VM.
-	words  *holdoff.Book
-	owners map[string]stageowner.Owner
-	// ownersWake is closed when an owner changes.
-	ownersWake chan struct{}
-}
-
-// stampKind is what a change count is kept of.
+	stamps      [stampKinds]map[string]uint64
+	changed     chan struct{}
+	entries     entryTable
+	confirmedAt time.Time
+	// holdoffs are the notices in servers' answers to this VM that they accept no calls.
+	holdoffs *holdoff.Book
+	owners   map[string]stageowner.Owner
+	// ownersChanged is closed when an owner changes.
+	ownersChanged chan struct{}
+}
+
+// stampKind is an event whose latest change count is recorded for each server.
 type stampKind int
 
 const (
@@ -49,7 +51,7 @@
 	stampKinds
 )
 
-// stamp notes a change count of a server; s.mu is held.
+// stamp records the current change count for a server. s.mu must be held.
 func (s *State) stamp(id string, kinds ...stampKind) {
 	for _, k := range kinds {
 		s.stamps[k][id] = s.changes
@@ -59,8 +61,8 @@
 // NewState returns an empty State.
 func NewState() *State {
 	s := &State{
-		out: make(map[string]time.Time), back: make(map[string]time.Time), dir: directory.New(), wake: make(chan struct{}), words: holdoff.NewBook(),
-		entries: newEntryBook(), owners: make(map[string]stageowner.Owner), ownersWake: make(chan struct{}),
+		domainsOut: make(map[string]time.Time), domainsReturned: make(map[string]time.Time), dir: directory.New(), changed: make(chan struct{}), holdoffs: holdoff.NewBook(),
+		entries: newEntryTable(), owners: make(map[string]stageowner.Owner), ownersChanged: make(chan struct{}),
 	}
 	for k := range s.stamps {
 		s.stamps[k] = make(map[string]uint64)
@@ -72,61 +74,62 @@
 func (s *State) Catalog() *catalog.Set {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.set
+	return s.config
 }
 
-// Number returns the number of the replicated state that is known.
+// Number returns the revision number of the replicated state that is known.
 func (s *State) Number() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.number
+	return s.revision
 }
 
 // Current reports whether the state was confirmed by the control group at least once since the process started.
 func (s *State) Current() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return !s.current.IsZero()
+	return !s.confirmedAt.IsZero()
 }
 
-// ContactAge returns how long ago a control VM confirmed the state.
+// ContactAge returns the time since the control group last confirmed the state.
 func (s *State) ContactAge(now time.Time) time.Duration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return now.Sub(s.current)
+	return now.Sub(s.confirmedAt)
 }
 
+// confirm records that the control group confirmed the state.
 func (s *State) confirm(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.current = now
+	s.confirmedAt = now
 }
 
-// apply takes over a replicated state unless a newer one is known. A configuration never goes back to a lower version.
-// It reports whether anything changed.
+// apply applies a replicated state unless an equal or newer one is known, and reports whether it did. The version of
+// the configuration never decreases.
 func (s *State) apply(number uint64, set *catalog.Set, domainsOut []string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if number <= s.number {
+	if number <= s.revision {
 		return false
 	}
-	s.number = number
-	if set != nil && (s.set == nil || set.Version > s.set.Version) {
-		s.set = set
+	s.revision = number
+	if set != nil && (s.config == nil || set.Version > s.config.Version) {
+		s.config = set
 	}
-	for d := range s.out {
+	for d := range s.domainsOut {
 		if !slices.Contains(domainsOut, d) {
-			delete(s.out, d)
-			s.back[d] = now
+			delete(s.domainsOut, d)
+			s.domainsReturned[d] = now
 		}
 	}
 	for _, d := range domainsOut {
-		if _, ok := s.out[d]; !ok {
-			s.out[d] = now
+		if _, ok := s.domainsOut[d]; !ok {
+			s.domainsOut[d] = now
 		}
-		delete(s.back, d)
+		delete(s.domainsReturned, d)
 	}
-	s.signal()
+	s.notifyChange()
 	return true
 }
 
@@ -134,45 +137,46 @@
 func (s *State) DomainsOut() []string {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return slices.Sorted(maps.Keys(s.out))
+	return slices.Sorted(maps.Keys(s.domainsOut))
 }
 
-// Merge takes announcements in and returns those that changed something.
+// Merge merges announcements and returns those that changed a server's record.
 func (s *State) Merge(servers []directory.Server) []directory.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.merge(servers)
 }
 
-// Announced takes announcements in that servers made to this VM; it returns those that changed something.
+// Announced merges announcements that servers made directly to this VM and returns those that changed a record.
 func (s *State) Announced(servers ...directory.Server) []directory.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news := s.merge(servers)
+	updated := s.merge(servers)
 	s.changes++
 	for _, v := range servers {
 		s.stamp(v.ID, stampAnnounced)
 	}
-	return news
+	return updated
 }
 
+// merge is Merge with s.mu held.
 func (s *State) merge(servers []directory.Server) []directory.Server {
-	var news []directory.Server
+	var updated []directory.Server
 	for _, v := range servers {
 		switch s.dir.Merge(v) {
 		case directory.Changed:
 			s.changes++
 			s.stamp(v.ID, stampChanged, stampHeard)
-			news = append(news, v)
+			updated = append(updated, v)
 		case directory.Refreshed:
 			s.changes++
 			s.stamp(v.ID, stampHeard)
 		}
 	}
-	if len(news) > 0 {
-		s.signal()
+	if len(updated) > 0 {
+		s.notifyChange()
 	}
-	return news
+	return updated
 }
 
 // Leave marks a server as gone and returns its record.
@@ -183,17 +187,17 @@
 	if c == directory.Changed {
 		s.changes++
 		s.stamp(id, stampChanged, stampHeard)
-		s.signal()
+		s.notifyChange()
 	}
 	return v
 }
 
-// Expire drops servers that were not heard for long.
+// Expire drops the servers that have been silent for too long and returns them.
 func (s *State) Expire(now time.Time) []directory.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	gone := s.dir.Expire(now)
-	s.words.Retain(func(id string) bool {
+	s.holdoffs.Retain(func(id string) bool {
 		_, known := s.dir.Get(id)
 		return known
 	}, now)
@@ -205,7 +209,7 @@
 	return gone
 }
 
-// Quieten marks servers that were not heard for some time.
+// Quieten marks servers as quiet that were not heard from for some time, and returns them.
 func (s *State) Quieten(now time.Time) []directory.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,45 +219,46 @@
 		s.stamp(v.ID, stampChanged)
 	}
 	if len(quiet) > 0 {
-		s.signal()
+		s.notifyChange()
 	}
 	return quiet
 }
 
-// signal wakes those that wait for a change; s.mu is held.
-func (s *State) signal() {
-	close(s.wake)
-	s.wake = make(chan struct{})
+// notifyChange closes the channel of Changed. s.mu must be held.
+func (s *State) notifyChange() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// wakeFollowers has followers told of what is not part of the State.
+// wakeFollowers wakes follow streams for a change that is not part of the State.
 func (s *State) wakeFollowers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.signal()
+	s.notifyChange()
 }
 
-// Changed returns a channel that is closed at the next change that followers must hear of soon.
+// Changed returns a channel that is closed at the next change that followers must be sent before the next heartbeat.
 func (s *State) Changed() <-chan struct{} {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.wake
+	return s.changed
 }
 
-// Candidate is a server that may get work.
+// Candidate is a server that may be given work.
 type Candidate struct {
 	directory.Server
-	// Cold is true while the server bears little load.
+	// Cold is true while the server can take only little load: it announced that it is cold, or its failure domain has just
+	// returned to service.
 	Cold bool
 }
 
-// Serving returns the servers of a service that may get new work now.
+// Serving returns the servers of a service that may be given new work now.
 func (s *State) Serving(service string, now time.Time) []Candidate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var out []Candidate
 	for _, v := range s.dir.Serving(service) {
-		if _, isOut := s.out[v.Domain]; isOut || !s.words.Open(v.ID, v.Incarnation(), now) {
+		if _, isOut := s.domainsOut[v.Domain]; isOut || !s.holdoffs.Open(v.ID, v.Incarnation(), now) {
 			continue
 		}
 		out = append(out, Candidate{Server: v, Cold: s.cold(v, now)})
@@ -261,15 +266,16 @@
 	return out
 }
 
+// cold reports whether a server can take only little load. s.mu must be held.
 func (s *State) cold(v directory.Server, now time.Time) bool {
 	if now.Before(v.ColdUntil) {
 		return true
 	}
-	back, returned := s.back[v.Domain]
-	return returned && now.Sub(back) < returnCaution
+	back, returned := s.domainsReturned[v.Domain]
+	return returned && now.Sub(back) < coldAfterReturn
 }
 
-// Allowed reports whether a server may still get new work: right before a send, or before a repeat.
+// Allowed reports whether a server may still be given new work. Callers check it right before a send or a retry.
 func (s *State) Allowed(id string) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -277,45 +283,45 @@
 	if !ok || v.State != directory.Ready {
 		return false
 	}
-	_, out := s.out[v.Domain]
-	return !out && s.words.Open(id, v.Incarnation(), time.Now())
+	_, out := s.domainsOut[v.Domain]
+	return !out && s.holdoffs.Open(id, v.Incarnation(), time.Now())
 }
 
-// Noticed takes over what an incarnation of a server said in an answer to this VM, and reports whether that is news.
+// Noticed records a notice from an answer of this incarnation of a server to this VM, and reports whether it is new.
 func (s *State) Noticed(v directory.Server, n holdoff.Notice, now time.Time) bool {
 	if n.Empty() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.words.Note(v.ID, v.Incarnation(), n, now)
+	return s.holdoffs.Note(v.ID, v.Incarnation(), n, now)
 }
 
-// Back returns when the first server of a service that wants no calls now takes them again; false when one takes them
-// now, or none will.
+// Back returns the time until the first server of a service accepts calls again; false if one accepts calls now, or
+// none will.
 func (s *State) Back(service string, now time.Time) (time.Duration, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	first, found := time.Time{}, false
 	for _, v := range s.dir.Serving(service) {
-		if _, isOut := s.out[v.Domain]; isOut {
+		if _, isOut := s.domainsOut[v.Domain]; isOut {
 			continue
 		}
-		if s.words.Open(v.ID, v.Incarnation(), now) {
+		if s.holdoffs.Open(v.ID, v.Incarnation(), now) {
 			return 0, false
 		}
-		if at, ok := s.words.Back(v.ID, v.Incarnation(), now); ok && (!found || at.Before(first)) {
+		if at, ok := s.holdoffs.Back(v.ID, v.Incarnation(), now); ok && (!found || at.Before(first)) {
 			first, found = at, true
 		}
 	}
 	return first.Sub(now), found
 }
 
-// Open reports whether an incarnation of a server takes calls of any kind from this VM, as far as its answers say.
+// Open reports whether this incarnation of a server accepts calls of any kind from this VM, according to its answers.
 func (s *State) Open(v directory.Server, now time.Time) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.words.Open(v.ID, v.Incarnation(), now)
+	return s.holdoffs.Open(v.ID, v.Incarnation(), now)
 }
 
 // ServerAt returns the server to which an address belongs; false when none is known.
@@ -332,8 +338,8 @@
 	return s.dir.Get(id)
 }
 
-// since returns the servers of which a stamp is later than the change count given, and the count to ask with next.
-func (s *State) since(count uint64, kind stampKind) ([]directory.Server, uint64) {
+// changedSince returns the servers whose stamp of a kind is later than count, and the count to pass next time.
+func (s *State) changedSince(count uint64, kind stampKind) ([]directory.Server, uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var out []directory.Server
@@ -348,8 +354,8 @@
 	return out, s.changes
 }
 
-// unheard returns the ids of servers that were not heard after the change count given, and the count to ask with next.
-func (s *State) unheard(count uint64) ([]string, uint64) {
+// notHeardSince returns the ids of servers that were not heard of after count, and the count to pass next time.
+func (s *State) notHeardSince(count uint64) ([]string, uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var out []string
@@ -361,7 +367,7 @@
 	return out, s.changes
 }
 
-// refresh notes that servers, except the silent ones, were heard at a time at least.
+// refresh records that the servers ids, except the silent ones, were heard no earlier than heard.
 func (s *State) refresh(ids map[string]bool, silent []string, heard time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -372,15 +378,15 @@
 	}
 }
 
-// all returns all records and the change count.
+// all returns all server records and the current change count.
 func (s *State) all() ([]directory.Server, uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.dir.All(), s.changes
 }
 
-// learnOwners takes over owners of stage calls with higher terms than those known.
-func (s *State) learnOwners(owners []stageowner.Owner) {
+// mergeOwners records owners of stage calls with higher terms than those known.
+func (s *State) mergeOwners(owners []stageowner.Owner) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := false
@@ -391,20 +397,20 @@
 		}
 	}
 	if changed {
-		close(s.ownersWake)
-		s.ownersWake = make(chan struct{})
-		s.signal()
+		close(s.ownersChanged)
+		s.ownersChanged = make(chan struct{})
+		s.notifyChange()
 	}
 }
 
-// LearnOwner takes over an owner that another VM told of.
-func (s *State) LearnOwner(o stageowner.Owner) { s.learnOwners([]stageowner.Owner{o}) }
+// LearnOwner records an owner that another VM reported.
+func (s *State) LearnOwner(o stageowner.Owner) { s.mergeOwners([]stageowner.Owner{o}) }
 
 // StageOwner returns the owner of a service's stage calls, and a channel that is closed when any owner changes.
 func (s *State) StageOwner(service string) (stageowner.Owner, <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.owners[service], s.ownersWake
+	return s.owners[service], s.ownersChanged
 }
 
 // OwnerAt returns the owner of the stage calls of the server at an address; false when there is none.
@@ -416,29 +422,29 @@
 	return o, ok && o.Address != ""
 }
 
-// setEntries takes over the entry VMs that a control VM tells of.
-func (s *State) setEntries(control string, added, removed []uint64, complete bool, now time.Time) {
+// updateEntries records the entry VMs that a control VM reported.
+func (s *State) updateEntries(control string, added, removed []uint64, complete bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries.update(control, added, removed, complete, now)
 }
 
-// heardEntries notes that a control VM goes on telling of the entry VMs that it told of.
-func (s *State) heardEntries(control string, now time.Time) {
+// touchEntries records that the entry VMs that a control VM reported are still valid.
+func (s *State) touchEntries(control string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries.heard(control, now)
+	s.entries.touch(control, now)
 }
 
-// Entries returns the ids of the entry VMs that share the bounds over all VMs, sorted; see EntryID.
+// Entries returns the sorted ids of the entry VMs that share the system-wide limits; see EntryID.
 func (s *State) Entries(now time.Time) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries.all(now)
 }
 
-// entriesChange returns a count that grows when Entries may give another list.
-func (s *State) entriesChange() uint64 {
+// entriesVersion returns a count that grows when the result of Entries may change.
+func (s *State) entriesVersion() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.entries.changes
--- a/pkg/fleet/streams.go
+++ b/pkg/fleet/streams.go
@@ -8,54 +8,59 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Numbers and times of an entry VM's streams. With a stream to each control VM, 295 entry VMs cost each control VM a third
-// of a core for heartbeats alone.
+// Limits and times of an entry VM's streams. If each of 295 entry VMs had a stream to each control VM, heartbeats
+// alone would cost each control VM a third of a core.
 const (
-	// followStreams is how many control VMs an entry VM follows: one goes on while another one is replaced. What a control
-	// VM learns reaches the others within milliseconds.
-	followStreams = 2
-	// confirmedFor is how long a control VM's word that the group confirms its state counts: an election is over by then.
+	// streamsPerEntryVM is how many control VMs an entry VM follows: one stream goes on while another is replaced.
+	// What a control VM learns reaches the others within milliseconds.
+	streamsPerEntryVM = 2
+	// confirmedFor is how long a control VM's statement that the group confirms its state is valid: longer than an
+	// election takes.
 	confirmedFor = 2 * time.Second
-	// probation is how long a stream may go without such a word before another control VM is tried in its place.
-	probation = 4 * time.Second
-	// avoidFor is how long a control VM whose stream failed is left out while there are others.
-	avoidFor = 3 * time.Second
+	// unconfirmedTimeout is how long a stream may go without such a statement before another control VM is tried in
+	// its place.
+	unconfirmedTimeout = 4 * time.Second
+	// failedStreamBackoff is how long a control VM whose stream failed is passed over while there are others.
+	failedStreamBackoff = 3 * time.Second
 )
 
-// streamState is what decides about the stream to one control VM.
+// streamState is what chooseStreams knows of the stream to one control VM.
 type streamState struct {
 	address string
-	// open is true while the stream stands or is being opened, confirmed while the control VM is in touch with the group.
+	// open is true while the stream is open or being opened, confirmed while the control VM is in contact with the
+	// group.
 	open, confirmed bool
-	// failing is true when it has not been confirmed for too long.
+	// failing is true once the stream has gone without confirmation for unconfirmedTimeout.
 	failing bool
-	// avoided is for how much longer it is left out while there are others, since it failed; 0 when it is not.
-	avoided time.Duration
+	// backoff is how much longer the control VM is passed over after a failure while there are others; 0 if it is
+	// not.
+	backoff time.Duration
 }
 
-// chooseStreams returns the followStreams control VMs that an entry VM follows: those that are confirmed, then those on
-// probation, then others, in an order that differs from VM to VM, so that the streams spread. When all have failed, the one
-// that failed first is tried next: two that stay down must not keep a VM from those that are back.
+// chooseStreams returns the streamsPerEntryVM control VMs that an entry VM follows: first those that are confirmed,
+// then those whose stream is open and not failing, then others. Within these, the order differs by VM, so that the
+// streams spread over the control VMs. When all have failed, the one that failed first is tried next, so that two
+// that stay down don't keep a VM from those that are back.
 func chooseStreams(vm string, all []streamState) []string {
 	rank := func(s streamState) uint64 { return xxhash.Sum64String(vm + "\x00" + s.address) }
-	class := func(s streamState) int {
+	priority := func(s streamState) int {
 		switch {
 		case s.confirmed:
 			return 0
 		case s.open && !s.failing:
 			return 1
-		case s.avoided > 0 || s.failing:
+		case s.backoff > 0 || s.failing:
 			return 3
 		}
 		return 2
 	}
 	slices.SortFunc(all, func(a, b streamState) int {
 		return cmp.Or(
-			cmp.Compare(class(a), class(b)), cmp.Compare(a.avoided, b.avoided), cmp.Compare(rank(a), rank(b)), cmp.Compare(a.address, b.address),
+			cmp.Compare(priority(a), priority(b)), cmp.Compare(a.backoff, b.backoff), cmp.Compare(rank(a), rank(b)), cmp.Compare(a.address, b.address),
 		)
 	})
-	out := make([]string, 0, followStreams)
-	for _, s := range all[:min(followStreams, len(all))] {
+	out := make([]string, 0, streamsPerEntryVM)
+	for _, s := range all[:min(streamsPerEntryVM, len(all))] {
 		out = append(out, s.address)
 	}
 	return out
--- a/pkg/fleet/suspects.go
+++ b/pkg/fleet/suspects.go
@@ -15,10 +15,10 @@
 	"github.com/daisyhatch/daisyhatch/pkg/suspect"
 )
 
-// errNoCrash means that a call names no crash.
-var errNoCrash = errors.New("fleet: no crash")
+// errNoCrash means that a ReportCrash request carries no crash.
+var errNoCrash = errors.New("fleet: request carries no crash")
 
-// sharedSuspects returns the suspects that all VMs must know of.
+// sharedSuspects returns the suspects with enough crashes to be sent to all VMs.
 func sharedSuspects(all []*daisyhatchv1.Suspect) []*daisyhatchv1.Suspect {
 	var out []*daisyhatchv1.Suspect
 	for _, s := range all {
@@ -29,7 +29,8 @@
 	return out
 }
 
-func sameSuspect(a, b *daisyhatchv1.Suspect) bool {
+// equalSuspect reports whether two records agree in all that other VMs need to know.
+func equalSuspect(a, b *daisyhatchv1.Suspect) bool {
 	return a.GetFingerprint() == b.GetFingerprint() && a.GetState() == b.GetState() && a.GetCrashes() == b.GetCrashes()
 }
 
@@ -40,7 +41,7 @@
 	if req.Msg.GetCrash() == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errNoCrash)
 	}
-	r, err := c.proposeAnyway(ctx, &daisyhatchv1.Command{Body: &daisyhatchv1.Command_Crash{Crash: req.Msg.GetCrash()}})
+	r, err := c.proposeUnchecked(ctx, &daisyhatchv1.Command{Body: &daisyhatchv1.Command_Crash{Crash: req.Msg.GetCrash()}})
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
@@ -52,22 +53,22 @@
 	ctx context.Context, req *connect.Request[daisyhatchv1.ClearSuspectsRequest],
 ) (*connect.Response[daisyhatchv1.ClearSuspectsResponse], error) {
 	cmd := &daisyhatchv1.Command{Body: &daisyhatchv1.Command_ClearSuspects{ClearSuspects: req.Msg.GetClear()}}
-	r, err := c.proposeAnyway(ctx, cmd)
+	r, err := c.proposeUnchecked(ctx, cmd)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
 	return connect.NewResponse(&daisyhatchv1.ClearSuspectsResponse{Result: r.GetClearSuspects()}), nil
 }
 
-// clearTimeout is how long one control VM is waited for that is told of served suspects.
+// clearTimeout limits the call that tells one control VM of served suspects.
 const clearTimeout = 500 * time.Millisecond
 
-// SuspectsReporter tells the control VMs that a VM knows of crashes, and of suspects that were served. It is safe for
+// SuspectsReporter reports crashes, and suspect requests that were served, to the control VMs. It is safe for
 // concurrent use.
 type SuspectsReporter struct {
 	*quarantine.ControlReporter
 	roster *Roster
-	own    *Control
+	local  *Control
 	http   *http.Client
 }
 
@@ -84,10 +85,10 @@
 	return s
 }
 
-// PreferOwn has the VM's own part as a control VM told first. It must be called before the first report.
-func (s *SuspectsReporter) PreferOwn(c *Control) { s.own = c }
+// PreferOwn sends reports to this VM's own Control first. It must be called before the first report.
+func (s *SuspectsReporter) PreferOwn(c *Control) { s.local = c }
 
-// suspectsClient is what a control VM answers about suspects.
+// suspectsClient is the part of FleetService that takes reports about suspects.
 type suspectsClient interface {
 	quarantine.CrashClient
 	ClearSuspects(context.Context, *connect.Request[daisyhatchv1.ClearSuspectsRequest]) (*connect.Response[daisyhatchv1.ClearSuspectsResponse], error)
@@ -95,8 +96,8 @@
 
 func (s *SuspectsReporter) clients() []suspectsClient {
 	var out []suspectsClient
-	if s.own != nil {
-		out = append(out, s.own)
+	if s.local != nil {
+		out = append(out, s.local)
 	}
 	for _, a := range s.roster.Addresses(time.Now()) {
 		out = append(out, daisyhatchv1connect.NewFleetServiceClient(s.http, "http://"+a))
@@ -104,7 +105,7 @@
 	return out
 }
 
-// Clear tells the control VMs, one after the other until one has it, that suspects were served.
+// Clear reports to the control VMs, one after the other until one accepts it, that suspect requests were served.
 func (s *SuspectsReporter) Clear(ctx context.Context, fingerprints []uint64) error {
 	err := error(quarantine.ErrNoControl)
 	for _, c := range s.clients() {
