--- a/pkg/follow/apply.go
+++ b/pkg/follow/apply.go
@@ -14,11 +14,12 @@
 	"github.com/daisyhatch/daisyhatch/pkg/publication"
 )
 
-// ErrDelta means that a delta didn't make the version that it was sent for; the whole text is asked for then.
-var ErrDelta = errors.New("follow: delta does not fit")
+// ErrDelta means that a delta doesn't apply to the version in force here, or didn't produce the version that it was
+// sent for. The client then asks for the full text.
+var ErrDelta = errors.New("follow: delta does not apply")
 
-// event takes over one watch event.
-func (c *Client) event(e *daisyhatchv1.WatchEvent) error {
+// handleEvent applies one watch event. It returns ErrDelta if the event's delta doesn't apply.
+func (c *Client) handleEvent(e *daisyhatchv1.WatchEvent) error {
 	c.raiseAccepted(e.GetAcceptedVersion())
 	if e.GetSuspectsChanged() {
 		c.setSuspects(e.GetSuspects())
@@ -26,70 +27,71 @@
 	if len(e.GetShards()) > 0 {
 		c.setShards(e.GetShards())
 	}
-	v, err := c.version(e)
+	v, err := c.decodeVersion(e)
 	if err != nil || v == nil {
 		return err
 	}
-	c.take(v)
+	c.applyIfNewer(v)
 	return nil
 }
 
+// raiseAccepted raises the highest accepted version known.
 func (c *Client) raiseAccepted(version uint64) {
 	for old := c.accepted.Load(); version > old; old = c.accepted.Load() {
 		c.accepted.CompareAndSwap(old, version)
 	}
 }
 
-// version returns the configuration that an event carries; nil when there is none.
-func (c *Client) version(e *daisyhatchv1.WatchEvent) (*daisyhatchv1.ConfigurationVersion, error) {
+// decodeVersion returns the configuration that an event carries; nil if it carries none.
+func (c *Client) decodeVersion(e *daisyhatchv1.WatchEvent) (*daisyhatchv1.ConfigurationVersion, error) {
 	d := e.GetDelta()
 	if d == nil {
-		return wholeVersion(e)
+		return decodeFullVersion(e)
 	}
 	current := c.Current()
 	if current.Version != d.GetBaseVersion() {
-		return nil, fmt.Errorf("%w: base is version %d, here is %d", ErrDelta, d.GetBaseVersion(), current.Version)
+		return nil, fmt.Errorf("%w: delta is based on version %d, version %d is in force", ErrDelta, d.GetBaseVersion(), current.Version)
 	}
 	text, err := publication.Patch(current.Text, d)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDelta, err)
 	}
 	if sum := sha256.Sum256(text); !bytes.Equal(sum[:], e.GetConfigurationSha256()) {
-		return nil, fmt.Errorf("%w: checksum of version %d", ErrDelta, e.GetDeltaMeta().GetVersion())
+		return nil, fmt.Errorf("%w: wrong checksum for version %d", ErrDelta, e.GetDeltaMeta().GetVersion())
 	}
 	v := publication.WithoutText(e.GetDeltaMeta())
 	v.Configuration = text
 	return v, nil
 }
 
-// wholeVersion returns the configuration that an event carries whole; nil when there is none.
-func wholeVersion(e *daisyhatchv1.WatchEvent) (*daisyhatchv1.ConfigurationVersion, error) {
+// decodeFullVersion returns the configuration that an event carries in full; nil if it carries none.
+func decodeFullVersion(e *daisyhatchv1.WatchEvent) (*daisyhatchv1.ConfigurationVersion, error) {
 	v := e.GetConfiguration()
 	if v == nil || len(e.GetConfigurationGzip()) == 0 {
 		return v, nil
 	}
 	text, err := publication.Decompress(e.GetConfigurationGzip())
 	if err != nil {
-		return nil, fmt.Errorf("follow: version %d: %w", v.GetVersion(), err)
+		return nil, fmt.Errorf("follow: decompress version %d: %w", v.GetVersion(), err)
 	}
 	v.Configuration = text
 	return v, nil
 }
 
-// take applies a version when it is higher than the one in force, and keeps it on disk first. One that this software
-// can't read leaves the earlier version in force and on disk.
-func (c *Client) take(v *daisyhatchv1.ConfigurationVersion) {
+// applyIfNewer applies a version that is higher than the one in force, after saving it to disk. One that can't be
+// parsed leaves the earlier version in force and on disk.
+func (c *Client) applyIfNewer(v *daisyhatchv1.ConfigurationVersion) {
 	if v.GetVersion() <= c.Current().Version {
 		return
 	}
-	set, err := c.o.Parse(v.GetConfiguration())
+	set, err := c.opts.Parse(v.GetConfiguration())
 	if err != nil {
-		c.o.Logr.Error(err, "configuration not understood; the earlier one stays", "version", v.GetVersion())
+		c.opts.Logr.Error(err, "configuration cannot be parsed; the earlier one stays in force", "version", v.GetVersion())
 		return
 	}
-	if c.o.DataDir != "" {
-		if err := save(filepath.Join(c.o.DataDir, fileName), v); err != nil {
-			c.o.Logr.Error(err, "configuration not kept on disk", "version", v.GetVersion())
+	if c.opts.DataDir != "" {
+		if err := save(filepath.Join(c.opts.DataDir, storeFileName), v); err != nil {
+			c.opts.Logr.Error(err, "configuration not saved to disk", "version", v.GetVersion())
 		}
 	}
 	c.apply(v, set)
@@ -107,10 +109,11 @@
 	}
 	c.inForce.Store(f)
 	c.raiseAccepted(f.Version)
-	c.o.Logr.Info("configuration in force", "version", f.Version, "operator", f.Operator, "changeID", f.ChangeID)
+	c.opts.Logr.Info("configuration in force", "version", f.Version, "operator", f.Operator, "changeID", f.ChangeID)
 	c.notify(f)
 }
 
+// setSuspects replaces the list of suspects.
 func (c *Client) setSuspects(list []*daisyhatchv1.Suspect) {
 	m := make(map[uint64]dispatch.Verdict, len(list))
 	for _, s := range list {
@@ -127,7 +130,7 @@
 	}
 }
 
-// setShards takes over the grantors. Of two for one shard the one with the higher fence stands.
+// setShards records the grantors of shards. Of two grantors for one shard, the one with the higher fence wins.
 func (c *Client) setShards(list []*daisyhatchv1.ShardGrantor) {
 	m := maps.Clone(*c.shards.Load())
 	for _, s := range list {
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -1,5 +1,6 @@
-// Package follow keeps an entry VM up to date: it watches the control VMs for the configuration, the crash suspects
-// and the grantors of shards, and sends them heartbeats. It applies only versions higher than any it has seen.
+// Package follow keeps an entry VM up to date: it watches a control VM for the configuration, the crash suspects and
+// the grantors of shards, and sends the control VMs heartbeats. It applies only versions of the configuration higher
+// than any it has applied before.
 package follow
 
 import (
@@ -23,23 +24,23 @@
 	"github.com/daisyhatch/daisyhatch/pkg/dispatch"
 )
 
-// Times of the client.
+// Timeouts and intervals of a Client.
 const (
-	// silenceTimeout is how long a watch may be silent before another control VM is tried.
+	// silenceTimeout is how long a watch may receive no bytes before another control VM is tried.
 	silenceTimeout = 900 * time.Millisecond
-	// retryMin and retryMax bound the pause between two control VMs.
+	// retryMin and retryMax bound the pause before the next control VM is tried, without jitter.
 	retryMin = 50 * time.Millisecond
 	retryMax = 250 * time.Millisecond
-	// callTimeout is how long a heartbeat waits for its answer.
-	callTimeout = time.Second
+	// heartbeatTimeout limits a heartbeat call.
+	heartbeatTimeout = time.Second
 	// heartbeatInterval is how often a heartbeat is sent.
 	heartbeatInterval = time.Second
 )
 
-// ErrSilent means that a watch fell silent.
-var ErrSilent = errors.New("follow: watch fell silent")
+// ErrSilent means that a watch received no bytes for silenceTimeout.
+var ErrSilent = errors.New("follow: watch received nothing in time")
 
-// Options are the parts that a Client stands on.
+// Options configure a Client.
 type Options struct {
 	VM              string
 	Incarnation     string
@@ -50,15 +51,15 @@
 	Control bool
 	// ControlAddrs are peer addresses of control VMs, IP:port.
 	ControlAddrs []string
-	// DataDir keeps the highest version across restarts; empty keeps none.
+	// DataDir is the folder that keeps the highest version across restarts; empty keeps none.
 	DataDir string
 	// HTTP makes the calls; nil means http.DefaultClient.
 	HTTP connect.HTTPClient
-	// Parse reads a configuration text.
+	// Parse reads and validates a configuration text.
 	Parse func(text []byte) (*config.Set, error)
 	// Fill adds to each heartbeat before it is sent; nil adds nothing.
 	Fill func(*daisyhatchv1.HeartbeatRequest)
-	// Answered is told of each heartbeat that was answered; nil for none.
+	// Answered is called with each heartbeat that was answered; nil for none.
 	Answered func(*daisyhatchv1.HeartbeatRequest)
 	// Rand is the source of jitter; nil seeds one.
 	Rand *rand.Rand
@@ -77,7 +78,7 @@
 	Set *config.Set
 }
 
-// Grantor is the control VM that grants a shard.
+// Grantor is the control VM that grants a shard. A higher fence replaces a lower one.
 type Grantor struct {
 	VM string
 	// Address is IP:port.
@@ -87,12 +88,12 @@
 
 // Client follows the control VMs. It is safe for concurrent use.
 type Client struct {
-	o        Options
-	services []daisyhatchv1connect.EntryServiceClient
+	opts    Options
+	clients []daisyhatchv1connect.EntryServiceClient
 
 	inForce  atomic.Pointer[InForce]
 	suspects atomic.Pointer[map[uint64]dispatch.Verdict]
-	// onSuspects is told of each list of suspects.
+	// onSuspects is called with each list of suspects.
 	onSuspects atomic.Pointer[func([]*daisyhatchv1.Suspect)]
 	shards     atomic.Pointer[map[uint32]Grantor]
 	accepted   atomic.Uint64
@@ -104,7 +105,7 @@
 	random      *rand.Rand
 }
 
-// New returns a Client at the highest version that its data folder holds. It returns ErrStore when the folder's file
+// New returns a Client with the version stored in its data folder in force. It returns ErrStore if the stored version
 // can't be read.
 func New(o Options) (*Client, error) {
 	if o.HTTP == nil {
@@ -113,9 +114,9 @@
 	if o.Rand == nil {
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	c := &Client{o: o, random: o.Rand, subscribers: make(map[int]chan *InForce)}
+	c := &Client{opts: o, random: o.Rand, subscribers: make(map[int]chan *InForce)}
 	for _, a := range o.ControlAddrs {
-		c.services = append(c.services, daisyhatchv1connect.NewEntryServiceClient(progressClient{o.HTTP}, "http://"+a))
+		c.clients = append(c.clients, daisyhatchv1connect.NewEntryServiceClient(progressClient{o.HTTP}, "http://"+a))
 	}
 	c.inForce.Store(&InForce{})
 	c.suspects.Store(&map[uint64]dispatch.Verdict{})
@@ -126,7 +127,7 @@
 	if err := os.MkdirAll(o.DataDir, 0o750); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrStore, err)
 	}
-	v, err := load(filepath.Join(o.DataDir, fileName))
+	v, err := load(filepath.Join(o.DataDir, storeFileName))
 	if err != nil {
 		return nil, err
 	}
@@ -135,7 +136,7 @@
 	}
 	set, err := o.Parse(v.GetConfiguration())
 	if err != nil {
-		return nil, fmt.Errorf("%w: version %d can't be read: %w", ErrStore, v.GetVersion(), err)
+		return nil, fmt.Errorf("%w: version %d can't be parsed: %w", ErrStore, v.GetVersion(), err)
 	}
 	c.apply(v, set)
 	return c, nil
@@ -144,28 +145,28 @@
 // Current returns the configuration in force on this VM.
 func (c *Client) Current() *InForce { return c.inForce.Load() }
 
-// Accepted returns the highest version that a control VM told of; it may not be in force here yet.
+// Accepted returns the highest version that a control VM reported as accepted; it may not be in force here yet.
 func (c *Client) Accepted() uint64 { return c.accepted.Load() }
 
-// Verdict returns what is known of a request's fingerprint.
+// Verdict returns what is known of the request with a fingerprint.
 func (c *Client) Verdict(fingerprint uint64) dispatch.Verdict {
 	return (*c.suspects.Load())[fingerprint]
 }
 
-// OnSuspects makes the client call f with each list of suspects that a control VM sends. Call it before Run.
+// OnSuspects sets the function called with each list of suspects that a control VM sends. Call it before Run.
 func (c *Client) OnSuspects(f func([]*daisyhatchv1.Suspect)) { c.onSuspects.Store(&f) }
 
-// Grantor returns the control VM that grants a shard.
+// Grantor returns the control VM that grants a shard; false if none is known.
 func (c *Client) Grantor(shard uint32) (Grantor, bool) {
 	g, ok := (*c.shards.Load())[shard]
 	return g, ok
 }
 
-// SetDraining tells the control VMs with the next heartbeat that this VM is leaving.
+// SetDraining makes all further heartbeats say that this VM is leaving.
 func (c *Client) SetDraining() { c.draining.Store(true) }
 
 // Subscribe returns a channel that carries the configuration in force after each change. A slow reader misses
-// versions in between, never the latest. The returned func ends the subscription.
+// intermediate versions, never the latest one. The returned func ends the subscription.
 func (c *Client) Subscribe() (<-chan *InForce, func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,6 +184,7 @@
 	}
 }
 
+// notify sends v to all subscribers, replacing a version that one has not received yet.
 func (c *Client) notify(v *InForce) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +197,7 @@
 	}
 }
 
-// Run watches and sends heartbeats until ctx ends.
+// Run watches for changes and sends heartbeats until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { c.watchLoop(ctx) })
--- a/pkg/follow/progress.go
+++ b/pkg/follow/progress.go
@@ -9,14 +9,16 @@
 	"connectrpc.com/connect"
 )
 
-type silenceKey struct{}
+type silenceTimerKey struct{}
 
-// withSilence returns a context whose answers put the timer off with each byte that comes in.
-func withSilence(ctx context.Context, t *time.Timer) context.Context {
-	return context.WithValue(ctx, silenceKey{}, t)
+// withSilenceTimer returns a context for calls through a progressClient, which reset t with each read from the
+// response body.
+func withSilenceTimer(ctx context.Context, t *time.Timer) context.Context {
+	return context.WithValue(ctx, silenceTimerKey{}, t)
 }
 
-// progressClient puts off the timer of a call while its answer's body comes in, so that a large one may take long.
+// progressClient resets the call's silence timer while the response body arrives, so that a large response may take
+// longer than silenceTimeout.
 type progressClient struct {
 	connect.HTTPClient
 }
@@ -24,7 +26,7 @@
 // Do implements connect.HTTPClient.
 func (c progressClient) Do(r *http.Request) (*http.Response, error) {
 	a, err := c.HTTPClient.Do(r)
-	t, ok := r.Context().Value(silenceKey{}).(*time.Timer)
+	t, ok := r.Context().Value(silenceTimerKey{}).(*time.Timer)
 	if err == nil && ok {
 		a.Body = progressBody{ReadCloser: a.Body, timer: t}
 	}
--- a/pkg/follow/progress_test.go
+++ b/pkg/follow/progress_test.go
@@ -17,7 +17,8 @@
 	"github.com/daisyhatch/daisyhatch/pkg/publication"
 )
 
-// slowControl answers a watch with one event, some bytes in each four fifths of the silence timeout, and then falls silent.
+// slowControl answers a watch with one event, ten bytes at a time with pauses of four fifths of silenceTimeout, and then
+// sends nothing more.
 type slowControl struct{ event *daisyhatchv1.WatchEvent }
 
 func (s slowControl) Do(r *http.Request) (*http.Response, error) {
@@ -25,7 +26,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// A message of the connect protocol begins with flags and its size.
+	// A message of the Connect protocol starts with a byte of flags and its size.
 	data = append(binary.BigEndian.AppendUint32([]byte{0}, uint32(len(data))), data...)
 	return &http.Response{
 		StatusCode: http.StatusOK,
@@ -54,9 +55,9 @@
 
 var _ io.ReadCloser = (*slowBody)(nil)
 
-// A configuration that takes far longer than the silence timeout to come in is taken, since bytes keep coming; the
-// silence after it ends the watch.
-func TestSlowAnswerIsNotSilence(t *testing.T) {
+// A configuration that takes far longer than silenceTimeout to arrive is applied, since bytes keep arriving; the silence after
+// it ends the watch.
+func TestSlowWatchEventIsNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &daisyhatchv1.WatchEvent{
 			Configuration:     &daisyhatchv1.ConfigurationVersion{Version: 3},
@@ -67,7 +68,7 @@
 			Parse: func([]byte) (*config.Set, error) { return &config.Set{}, nil },
 		})
 		require.NoError(t, err)
-		err = c.watch(t.Context(), c.services[0], false)
+		err = c.watch(t.Context(), c.clients[0], false)
 		require.ErrorIs(t, err, ErrSilent)
 		require.Equal(t, "a text that is long enough", string(c.Current().Text))
 	})
--- a/pkg/follow/store.go
+++ b/pkg/follow/store.go
@@ -14,12 +14,13 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// ErrStore means that the file with the highest version can't be read. Removing it makes the VM begin without one.
+// ErrStore means that the stored configuration can't be read. If the file is removed, the VM starts without a
+// configuration.
 var ErrStore = errors.New("follow: stored configuration is damaged")
 
 const (
-	fileName = "in-force.bin"
-	// fileMagic begins the file and names its format version.
+	storeFileName = "in-force.bin"
+	// fileMagic is the start of the file and names its format version.
 	fileMagic  = "dhcfg001"
 	headerSize = len(fileMagic) + 8
 )
@@ -32,12 +33,12 @@
 	}
 	out := binary.BigEndian.AppendUint64([]byte(fileMagic), xxhash.Sum64(data))
 	if err := writeSynced(path, append(out, data...)); err != nil {
-		return fmt.Errorf("follow: keep version %d: %w", v.GetVersion(), err)
+		return fmt.Errorf("follow: save version %d: %w", v.GetVersion(), err)
 	}
 	return nil
 }
 
-// writeSynced replaces a file by way of a synced one beside it.
+// writeSynced replaces a file atomically: it writes and syncs a temporary file, renames it and syncs the folder.
 func writeSynced(path string, data []byte) error {
 	next := path + ".next"
 	f, err := os.Create(next)
@@ -58,7 +59,7 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// load reads what save wrote; nil when there is no file.
+// load reads the version that save wrote; nil if there is no file.
 func load(path string) (*daisyhatchv1.ConfigurationVersion, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -68,7 +69,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrStore, err)
 	}
 	if len(data) < headerSize || string(data[:len(fileMagic)]) != fileMagic {
-		return nil, fmt.Errorf("%w: %s has no known format", ErrStore, path)
+		return nil, fmt.Errorf("%w: %s has an unknown format", ErrStore, path)
 	}
 	if binary.BigEndian.Uint64(data[len(fileMagic):]) != xxhash.Sum64(data[headerSize:]) {
 		return nil, fmt.Errorf("%w: %s has a wrong checksum", ErrStore, path)
--- a/pkg/follow/store_test.go
+++ b/pkg/follow/store_test.go
@@ -10,16 +10,16 @@
 	"github.com/daisyhatch/daisyhatch/pkg/config"
 )
 
-// A VM that starts with an empty data folder keeps the version in force, and serves it after a restart.
-func TestNewDataFolderKeepsTheVersion(t *testing.T) {
+// A VM whose data folder doesn't exist yet creates it, saves the version in force there, and has it in force after a restart.
+func TestVersionInNewDataFolderSurvivesRestart(t *testing.T) {
 	o := Options{
 		DataDir: filepath.Join(t.TempDir(), "data", "configuration"),
 		Parse:   func([]byte) (*config.Set, error) { return &config.Set{}, nil },
 	}
 	c, err := New(o)
 	require.NoError(t, err)
-	c.take(&daisyhatchv1.ConfigurationVersion{Version: 7, Configuration: []byte("x")})
-	again, err := New(o)
+	c.applyIfNewer(&daisyhatchv1.ConfigurationVersion{Version: 7, Configuration: []byte("x")})
+	restarted, err := New(o)
 	require.NoError(t, err)
-	require.EqualValues(t, 7, again.Current().Version)
+	require.EqualValues(t, 7, restarted.Current().Version)
 }
