--- a/pkg/fleet/control.go
+++ b/pkg/fleet/control.go
@@ -79,11 +79,11 @@
 	peerRelayInterval   = 3 * time.Second
 )
 
-// Parse reads and validates a configuration document.
-type Parse func(document []byte) (*catalog.Set, error)
+// ParseFunc reads and validates a configuration document.
+type ParseFunc func(document []byte) (*catalog.Set, error)
 
-// Suspects receives the list of requests during which several servers crashed. A list with a higher version is newer.
-type Suspects func(version uint64, list []*daisyhatchv1.Suspect)
+// SuspectsFunc receives the list of requests during which several servers crashed. A list with a higher version is newer.
+type SuspectsFunc func(version uint64, list []*daisyhatchv1.Suspect)
 
 // ControlOptions configure a Control.
 type ControlOptions struct {
@@ -97,9 +97,9 @@
 	Machine     *fsm.Machine
 	State       *State
 	Roster      *Roster
-	Parse       Parse
+	Parse       ParseFunc
 	// Suspects receives the requests during which several servers crashed, as FollowerOptions.Suspects does.
-	Suspects Suspects
+	Suspects SuspectsFunc
 	HTTP     *http.Client
 	Log      logr.Logger
 }
--- a/pkg/fleet/follower.go
+++ b/pkg/fleet/follower.go
@@ -43,9 +43,9 @@
 	PeerAddress string
 	State       *State
 	Roster      *Roster
-	Parse       Parse
+	Parse       ParseFunc
 	// Suspects receives the requests during which several servers crashed. It is called on entry VMs only.
-	Suspects Suspects
+	Suspects SuspectsFunc
 	HTTP     *http.Client
 	Log      logr.Logger
 }
--- a/pkg/fleet/joining.go
+++ b/pkg/fleet/joining.go
@@ -58,7 +58,7 @@
 ) (*connect.Response[daisyhatchv1.JoinResponse], error) {
 	m, now := req.Msg, time.Now()
 	c.mu.Lock()
-	c.joiners[m.GetVm()] = Joiner{VM: m.GetVm(), Address: m.GetAddress(), Instance: m.GetInstance(), Asked: now}
+	c.joiners[m.GetVm()] = Joiner{VM: m.GetVm(), Address: m.GetAddress(), Instance: m.GetInstance(), RequestedAt: now}
 	c.mu.Unlock()
 	c.opts.Roster.Name([]string{m.GetAddress()}, now)
 	return connect.NewResponse(&daisyhatchv1.JoinResponse{ControlAddresses: c.controlAddresses(now)}), nil
@@ -73,7 +73,7 @@
 	}
 	c.mu.Lock()
 	for _, j := range c.joiners {
-		if now.Sub(j.Asked) <= joinRequestTTL {
+		if now.Sub(j.RequestedAt) <= joinRequestTTL {
 			out = append(out, j.Address)
 		}
 	}
@@ -98,7 +98,7 @@
 	c.mu.Lock()
 	joiners := slices.Collect(maps.Values(c.joiners))
 	c.mu.Unlock()
-	step := Plan(members, joiners, c.targetVoters(), now)
+	step := NextMembershipChange(members, joiners, c.targetVoters(), now)
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	switch {
--- a/pkg/fleet/membership.go
+++ b/pkg/fleet/membership.go
@@ -24,26 +24,26 @@
 	Silence time.Duration
 }
 
-// Joiner is a VM that asks to join the control group. Asked is when its latest request arrived.
+// Joiner is a VM that asks to join the control group. RequestedAt is when its latest request arrived.
 type Joiner struct {
-	VM       string
-	Address  string
-	Instance string
-	Asked    time.Time
+	VM          string
+	Address     string
+	Instance    string
+	RequestedAt time.Time
 }
 
-// Step is one change to the control group; at most one field is set.
-type Step struct {
+// MembershipChange is one change to the control group; at most one field is set.
+type MembershipChange struct {
 	Add    *Joiner
 	Remove string
 }
 
-// Plan decides the next change to the control group. A member that asks to join as another instance has lost its data
-// folder, which never counts again: the member is removed and joins under its new identity. A dead voter is removed
-// only when a VM waits to take its place, or when there are more voters than target, so that the group never shrinks
-// because of silence alone. It is removed before the new voter is added: the quorum then never needs more live voters
-// than before.
-func Plan(members []Member, joiners []Joiner, target int, now time.Time) Step {
+// NextMembershipChange decides the next change to the control group. A member that asks to join as another instance
+// has lost its data folder, which never counts again: the member is removed and joins under its new identity. A dead
+// voter is removed only when a VM waits to take its place, or when there are more voters than target, so that the
+// group never shrinks because of silence alone. It is removed before the new voter is added: the quorum then never
+// needs more live voters than before.
+func NextMembershipChange(members []Member, joiners []Joiner, target int, now time.Time) MembershipChange {
 	voters := 0
 	byVM := make(map[string]Member, len(members))
 	for _, m := range members {
@@ -52,22 +52,22 @@
 			voters++
 		}
 	}
-	waiting := slices.DeleteFunc(slices.Clone(joiners), func(j Joiner) bool { return now.Sub(j.Asked) > joinRequestTTL })
+	waiting := slices.DeleteFunc(slices.Clone(joiners), func(j Joiner) bool { return now.Sub(j.RequestedAt) > joinRequestTTL })
 	slices.SortFunc(waiting, func(a, b Joiner) int { return cmp.Compare(a.VM, b.VM) })
 	for _, j := range waiting {
 		if m, ok := byVM[j.VM]; ok && m.Instance != j.Instance {
-			return Step{Remove: j.VM}
+			return MembershipChange{Remove: j.VM}
 		}
 	}
 	waiting = slices.DeleteFunc(waiting, func(j Joiner) bool { _, ok := byVM[j.VM]; return ok })
 	dead := longestSilent(members)
 	switch {
 	case dead != "" && (voters > target || len(waiting) > 0 && voters >= target):
-		return Step{Remove: dead}
+		return MembershipChange{Remove: dead}
 	case len(waiting) > 0:
-		return Step{Add: &waiting[0]}
+		return MembershipChange{Add: &waiting[0]}
 	}
-	return Step{}
+	return MembershipChange{}
 }
 
 // longestSilent returns the dead member that has been silent longest; empty if there is none.
--- a/pkg/fleet/membership_test.go
+++ b/pkg/fleet/membership_test.go
@@ -16,10 +16,10 @@
 }
 
 func joiner(vm, instance string) Joiner {
-	return Joiner{VM: vm, Address: vm + ":1", Instance: instance, Asked: testTime}
+	return Joiner{VM: vm, Address: vm + ":1", Instance: instance, RequestedAt: testTime}
 }
 
-func TestPlan(t *testing.T) {
+func TestNextMembershipChange(t *testing.T) {
 	three := []Member{member("a", 0), member("b", 0), member("c", 0)}
 	five := append(three[:3:3], member("d", 0), member("e", 0))
 	withDeadVoter := append(five[:4:4], member("e", deadAfter))
@@ -38,12 +38,12 @@
 		"full group without a dead voter adds the new VM":       {members: five, joiners: []Joiner{joiner("f", "x")}, add: "f"},
 		"dead voter above the target is removed":                {members: append(withDeadVoter[:5:5], member("f", 0)), remove: "e"},
 		"expired join request is ignored": {members: three, joiners: []Joiner{
-			{VM: "d", Instance: "x", Asked: testTime.Add(-joinRequestTTL - 1)},
+			{VM: "d", Instance: "x", RequestedAt: testTime.Add(-joinRequestTTL - 1)},
 		}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := Plan(c.members, c.joiners, 5, testTime)
+			s := NextMembershipChange(c.members, c.joiners, 5, testTime)
 			require.Equal(t, c.remove, s.Remove)
 			if c.add == "" {
 				require.Nil(t, s.Add)
@@ -57,7 +57,7 @@
 
 // Whatever VMs join and fail, the group keeps at least four of its five voters, so that committed state survives the loss of
 // two disks.
-func TestPlanKeepsFourOfFiveVoters(t *testing.T) {
+func TestMembershipKeepsFourOfFiveVoters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := map[string]Member{}
 		for _, vm := range []string{"a", "b", "c", "d", "e"} {
@@ -75,7 +75,7 @@
 				}
 				list = append(list, m)
 			}
-			s := Plan(list, joiners, 5, testTime)
+			s := NextMembershipChange(list, joiners, 5, testTime)
 			switch {
 			case s.Add != nil:
 				members[s.Add.VM] = member(s.Add.VM, 0)
--- a/pkg/follow/apply.go
+++ b/pkg/follow/apply.go
@@ -14,11 +14,11 @@
 	"github.com/daisyhatch/daisyhatch/pkg/publication"
 )
 
-// ErrDelta means that a delta doesn't apply to the version in force here, or didn't produce the version that it was
-// sent for. The client then asks for the full text.
-var ErrDelta = errors.New("follow: delta does not apply")
+// ErrDeltaMismatch means that a delta doesn't apply to the version in force here, or didn't produce the version that
+// it was sent for. The client then asks for the full text.
+var ErrDeltaMismatch = errors.New("follow: delta does not apply")
 
-// handleEvent applies one watch event. It returns ErrDelta if the event's delta doesn't apply.
+// handleEvent applies one watch event. It returns ErrDeltaMismatch if the event's delta doesn't apply.
 func (c *Client) handleEvent(e *daisyhatchv1.WatchEvent) error {
 	c.raiseAccepted(e.GetAcceptedVersion())
 	if e.GetSuspectsChanged() {
@@ -50,14 +50,14 @@
 	}
 	current := c.Current()
 	if current.Version != d.GetBaseVersion() {
-		return nil, fmt.Errorf("%w: delta is based on version %d, version %d is in force", ErrDelta, d.GetBaseVersion(), current.Version)
+		return nil, fmt.Errorf("%w: delta is based on version %d, version %d is in force", ErrDeltaMismatch, d.GetBaseVersion(), current.Version)
 	}
 	text, err := publication.Patch(current.Text, d)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrDelta, err)
+		return nil, fmt.Errorf("%w: %w", ErrDeltaMismatch, err)
 	}
 	if sum := sha256.Sum256(text); !bytes.Equal(sum[:], e.GetConfigurationSha256()) {
-		return nil, fmt.Errorf("%w: wrong checksum for version %d", ErrDelta, e.GetDeltaMeta().GetVersion())
+		return nil, fmt.Errorf("%w: wrong checksum for version %d", ErrDeltaMismatch, e.GetDeltaMeta().GetVersion())
 	}
 	v := publication.WithoutText(e.GetDeltaMeta())
 	v.Configuration = text
--- a/pkg/follow/apply_test.go
+++ b/pkg/follow/apply_test.go
@@ -61,12 +61,12 @@
 		DeltaMeta: &daisyhatchv1.ConfigurationVersion{Version: 2},
 	}
 	e.ConfigurationSha256[0]++
-	require.ErrorIs(t, c.handleEvent(e), ErrDelta)
+	require.ErrorIs(t, c.handleEvent(e), ErrDeltaMismatch)
 	require.EqualValues(t, 1, c.Current().Version)
 	e.ConfigurationSha256[0]--
 	require.NoError(t, c.handleEvent(e))
 	require.Equal(t, string(next), string(c.Current().Text))
-	require.ErrorIs(t, c.handleEvent(e), ErrDelta, "the base is no longer in force")
+	require.ErrorIs(t, c.handleEvent(e), ErrDeltaMismatch, "the base is no longer in force")
 }
 
 func TestDamagedFileIsRejected(t *testing.T) {
--- a/pkg/follow/watch.go
+++ b/pkg/follow/watch.go
@@ -27,7 +27,7 @@
 			return
 		}
 		c.opts.Logr.V(1).Info("watch ended", "control", c.opts.ControlAddrs[index], "reason", errorText(err))
-		full = !full && errors.Is(err, ErrDelta)
+		full = !full && errors.Is(err, ErrDeltaMismatch)
 		if full {
 			continue
 		}
