--- a/pkg/fleet/follower.go
+++ b/pkg/fleet/follower.go
@@ -311,8 +311,8 @@
 	return true
 }
 
-// Heard reports whether a stream to a control VM is open.
-func (f *Follower) Heard() bool {
+// Connected reports whether a stream to a control VM is open.
+func (f *Follower) Connected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.streams {
