--- a/pkg/fleet/commands.go
+++ b/pkg/fleet/commands.go
@@ -94,7 +94,7 @@
 // once LossesBorne other control VMs have stored it, so that one copy survives the loss of
 // LossesBorne VMs; Announce returns ErrUnavailable otherwise.
 func (c *Control) Announce(ctx context.Context, s directory.Server) error {
-	updated := c.opts.State.Announced(s)
+	updated := c.opts.State.MergeDirect(s)
 	if len(updated) > 0 {
 		c.opts.Log.Info("server announced", "server", s.ID, "service", s.Service, "state", s.State.String(),
 			"address", s.Address, "domain", s.Domain, "born_ms", s.Born, "sequence", s.Sequence)
--- a/pkg/fleet/feed_test.go
+++ b/pkg/fleet/feed_test.go
@@ -68,7 +68,7 @@
 	relayed, direct := 0, 0
 	for second := range 31 {
 		at := now.Add(time.Duration(second) * time.Second)
-		state.Announced(server("direct", uint64(second+1), at))
+		state.MergeDirect(server("direct", uint64(second+1), at))
 		state.Merge([]directory.Server{server("relayed", uint64(second+1), at)})
 		m := &daisyhatchv1.FollowResponse{}
 		f.fillServers(m, at)
--- a/pkg/fleet/holdoff_test.go
+++ b/pkg/fleet/holdoff_test.go
@@ -12,7 +12,7 @@
 
 func announced(s *State, id string, born int64, at time.Time) directory.Server {
 	v := directory.Server{ID: id, Address: id, Domain: "a", Service: "s", State: directory.Ready, Born: born, Sequence: 1, Heard: at}
-	s.Announced(v)
+	s.MergeDirect(v)
 	return v
 }
 
--- a/pkg/fleet/state.go
+++ b/pkg/fleet/state.go
@@ -147,8 +147,8 @@
 	return s.merge(servers)
 }
 
-// Announced merges announcements that servers made directly to this VM and returns those that changed a record.
-func (s *State) Announced(servers ...directory.Server) []directory.Server {
+// MergeDirect merges announcements that servers made directly to this VM and returns those that changed a record.
+func (s *State) MergeDirect(servers ...directory.Server) []directory.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	updated := s.merge(servers)
