--- a/pkg/fleet/feed.go
+++ b/pkg/fleet/feed.go
@@ -23,7 +23,7 @@
 		defer c.removeFollowerStream(req.Msg)
 	}
 	if a := req.Msg.GetPeerAddress(); a != "" {
-		c.opts.Roster.Name([]string{a}, time.Now())
+		c.opts.Roster.Add([]string{a}, time.Now())
 	}
 	f, pause := &feed{control: c, refresh: refreshInterval, peer: req.Msg.GetPeerAddress() != ""}, entryBatchDelay
 	if f.peer {
--- a/pkg/fleet/follower.go
+++ b/pkg/fleet/follower.go
@@ -264,7 +264,7 @@
 func (f *Follower) applyMessage(address string, m *daisyhatchv1.FollowResponse) {
 	now := time.Now()
 	state := f.opts.State
-	f.opts.Roster.Name(append(m.GetControlAddresses(), address), now)
+	f.opts.Roster.Add(append(m.GetControlAddresses(), address), now)
 	if m.GetEntriesComplete() || len(m.GetEntriesAdded())+len(m.GetEntriesRemoved()) > 0 {
 		state.updateEntries(address, m.GetEntriesAdded(), m.GetEntriesRemoved(), m.GetEntriesComplete(), now)
 	} else {
--- a/pkg/fleet/joining.go
+++ b/pkg/fleet/joining.go
@@ -22,7 +22,7 @@
 	c.callPeers(ctx, joinInterval, func(ctx context.Context, cl daisyhatchv1connect.FleetServiceClient) error {
 		res, err := cl.Join(ctx, connect.NewRequest(req))
 		if err == nil {
-			c.opts.Roster.Name(res.Msg.GetControlAddresses(), time.Now())
+			c.opts.Roster.Add(res.Msg.GetControlAddresses(), time.Now())
 		}
 		return err
 	})
@@ -60,7 +60,7 @@
 	c.mu.Lock()
 	c.joiners[m.GetVm()] = Joiner{VM: m.GetVm(), Address: m.GetAddress(), Instance: m.GetInstance(), RequestedAt: now}
 	c.mu.Unlock()
-	c.opts.Roster.Name([]string{m.GetAddress()}, now)
+	c.opts.Roster.Add([]string{m.GetAddress()}, now)
 	return connect.NewResponse(&daisyhatchv1.JoinResponse{ControlAddresses: c.controlAddresses(now)}), nil
 }
 
--- a/pkg/fleet/roster.go
+++ b/pkg/fleet/roster.go
@@ -36,8 +36,8 @@
 	r.signal()
 }
 
-// Name records addresses that a control VM reported, or that were reached.
-func (r *Roster) Name(addresses []string, now time.Time) {
+// Add records addresses that a control VM reported, or that were reached.
+func (r *Roster) Add(addresses []string, now time.Time) {
 	r.mu.Lock()
 	added := false
 	for _, a := range addresses {
