--- a/pkg/fleet/control.go
+++ b/pkg/fleet/control.go
@@ -243,7 +243,7 @@
 // expire drops entry VMs and servers that have been silent for too long, and marks quiet servers.
 func (c *Control) expire(context.Context) {
 	c.expireFollowers(time.Now())
-	for _, v := range c.opts.State.Quieten(time.Now()) {
+	for _, v := range c.opts.State.MarkQuiet(time.Now()) {
 		c.opts.Log.Info("server is quiet", "server", v.ID, "service", v.Service, "address", v.Address)
 	}
 	for _, v := range c.opts.State.Expire(time.Now()) {
--- a/pkg/fleet/feed_test.go
+++ b/pkg/fleet/feed_test.go
@@ -73,7 +73,7 @@
 		m := &daisyhatchv1.FollowResponse{}
 		f.fillServers(m, at)
 		known.Merge(serversFromWire(m.GetServers(), at))
-		require.Empty(t, known.Quieten(at), "a server turned quiet after %d s", second)
+		require.Empty(t, known.MarkQuiet(at), "a server turned quiet after %d s", second)
 		for _, v := range m.GetServers() {
 			if v.GetId() == "direct" {
 				direct++
--- a/pkg/fleet/state.go
+++ b/pkg/fleet/state.go
@@ -209,8 +209,8 @@
 	return gone
 }
 
-// Quieten marks servers as quiet that were not heard from for some time, and returns them.
-func (s *State) Quieten(now time.Time) []directory.Server {
+// MarkQuiet marks servers as quiet that were not heard from for some time, and returns them.
+func (s *State) MarkQuiet(now time.Time) []directory.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	quiet := s.dir.Quieten(now)
