--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -155,7 +155,7 @@
 		Node: f.node, Machine: machine, State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, HTTP: p.client,
 		Suspects: f.suspects.Learn, Log: k.Log().WithName("control"),
 	}, stages)
-	reporter.PreferOwn(f.control)
+	reporter.PreferLocal(f.control)
 	p.handle(f.control.Handler(compressLarge()))
 	r := chi.NewRouter()
 	f.dialect.Operators(r, f.control)
--- a/pkg/fleet/suspects.go
+++ b/pkg/fleet/suspects.go
@@ -85,8 +85,8 @@
 	return s
 }
 
-// PreferOwn sends reports to this VM's own Control first. It must be called before the first report.
-func (s *SuspectsReporter) PreferOwn(c *Control) { s.local = c }
+// PreferLocal sends reports to this VM's own Control first. It must be called before the first report.
+func (s *SuspectsReporter) PreferLocal(c *Control) { s.local = c }
 
 // suspectsClient is the part of FleetService that takes reports about suspects.
 type suspectsClient interface {
