--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -211,7 +211,7 @@
 
 // Stop implements kernel.Service.
 func (f *fleetControl) Stop(ctx context.Context) error {
-	f.control.ReleaseStages(ctx)
+	f.control.ReleaseStageOwnership(ctx)
 	err := f.operators.Stop(ctx)
 	f.cancel()
 	<-f.done
--- a/pkg/fleet/owners.go
+++ b/pkg/fleet/owners.go
@@ -82,9 +82,9 @@
 		"orderly", ch.Orderly, "accepted", r.GetStageOwner().GetAccepted(), "error", errorText(err))
 }
 
-// ReleaseStages gives up ownership of the services whose stage calls this VM makes, before it stops. It completes the
+// ReleaseStageOwnership gives up ownership of the services whose stage calls this VM makes, before it stops. It completes the
 // jobs that it already has.
-func (c *Control) ReleaseStages(ctx context.Context) {
+func (c *Control) ReleaseStageOwnership(ctx context.Context) {
 	view, _ := c.opts.Machine.View()
 	for _, o := range view.StageOwners {
 		if o.Address == c.opts.Address {
