--- a/pkg/daemon/entry.go
+++ b/pkg/daemon/entry.go
@@ -72,19 +72,19 @@
 	}
 	f.recorder = burn.NewRecorder()
 	f.client, err = follow.New(follow.Options{
-		VM:              f.settings.VM.Name,
-		Incarnation:     f.incarnation,
-		FailureDomain:   f.settings.VM.FailureDomain,
-		SoftwareVersion: version.Version,
-		Entry:           f.settings.VM.Entry(),
-		Control:         f.settings.VM.Control(),
-		ControlAddrs:    f.controlAddresses(),
-		DataDir:         f.dataDir("configuration"),
-		HTTP:            p.client,
-		Parse:           func(text []byte) (*config.Set, error) { return f.parser.Parse(configurationFile, text) },
-		Fill:            f.fill,
-		Answered:        f.answered,
-		Logr:            k.Log().WithName("follow"),
+		VM:                  f.settings.VM.Name,
+		Incarnation:         f.incarnation,
+		FailureDomain:       f.settings.VM.FailureDomain,
+		SoftwareVersion:     version.Version,
+		Entry:               f.settings.VM.Entry(),
+		Control:             f.settings.VM.Control(),
+		ControlAddrs:        f.controlAddresses(),
+		DataDir:             f.dataDir("configuration"),
+		HTTP:                p.client,
+		Parse:               func(text []byte) (*config.Set, error) { return f.parser.Parse(configurationFile, text) },
+		Fill:                f.fill,
+		OnHeartbeatAnswered: f.answered,
+		Logr:                k.Log().WithName("follow"),
 	})
 	if err != nil {
 		return fmt.Errorf("daemon: %w", err)
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -59,8 +59,8 @@
 	Parse func(text []byte) (*config.Set, error)
 	// Fill adds to each heartbeat before it is sent; nil adds nothing.
 	Fill func(*daisyhatchv1.HeartbeatRequest)
-	// Answered is called with each heartbeat that was answered; nil for none.
-	Answered func(*daisyhatchv1.HeartbeatRequest)
+	// OnHeartbeatAnswered is called with each heartbeat that was answered; nil for none.
+	OnHeartbeatAnswered func(*daisyhatchv1.HeartbeatRequest)
 	// Rand is the source of jitter; nil seeds one.
 	Rand *rand.Rand
 	Logr logr.Logger
--- a/pkg/follow/watch.go
+++ b/pkg/follow/watch.go
@@ -105,8 +105,8 @@
 		return false
 	}
 	c.raiseAccepted(r.Msg.GetAcceptedVersion())
-	if c.opts.Answered != nil {
-		c.opts.Answered(req)
+	if c.opts.OnHeartbeatAnswered != nil {
+		c.opts.OnHeartbeatAnswered(req)
 	}
 	return true
 }
