--- a/pkg/daemon/entry.go
+++ b/pkg/daemon/entry.go
@@ -82,7 +82,7 @@
 		DataDir:             f.dataDir("configuration"),
 		HTTP:                p.client,
 		Parse:               func(text []byte) (*config.Set, error) { return f.parser.Parse(configurationFile, text) },
-		Fill:                f.fill,
+		FillHeartbeat:       f.fill,
 		OnHeartbeatAnswered: f.answered,
 		Logr:                k.Log().WithName("follow"),
 	})
--- a/pkg/follow/follow.go
+++ b/pkg/follow/follow.go
@@ -57,8 +57,8 @@
 	HTTP connect.HTTPClient
 	// Parse reads and validates a configuration text.
 	Parse func(text []byte) (*config.Set, error)
-	// Fill adds to each heartbeat before it is sent; nil adds nothing.
-	Fill func(*daisyhatchv1.HeartbeatRequest)
+	// FillHeartbeat adds to each heartbeat before it is sent; nil adds nothing.
+	FillHeartbeat func(*daisyhatchv1.HeartbeatRequest)
 	// OnHeartbeatAnswered is called with each heartbeat that was answered; nil for none.
 	OnHeartbeatAnswered func(*daisyhatchv1.HeartbeatRequest)
 	// Rand is the source of jitter; nil seeds one.
--- a/pkg/follow/watch.go
+++ b/pkg/follow/watch.go
@@ -96,8 +96,8 @@
 		Draining:        c.draining.Load(),
 		Sequence:        sequence,
 	}
-	if c.opts.Fill != nil {
-		c.opts.Fill(req)
+	if c.opts.FillHeartbeat != nil {
+		c.opts.FillHeartbeat(req)
 	}
 	r, err := client.Heartbeat(ctx, connect.NewRequest(req))
 	if err != nil {
