--- a/pkg/fleet/control.go
+++ b/pkg/fleet/control.go
@@ -128,7 +128,7 @@
 type entryFollower struct {
 	// streams is the number of its open streams.
 	streams int
-	// endedAt is when its latest stream to end did so.
+	// endedAt is when one of its streams last ended.
 	endedAt time.Time
 }
 
--- a/pkg/fleet/feed.go
+++ b/pkg/fleet/feed.go
@@ -209,7 +209,7 @@
 	f.entryIDs, f.entryIDsVersion, f.entriesAt = ids, count, now
 }
 
-// next returns the next message to the follower, which it takes as sent.
+// next returns the next message to the follower and records its content as sent.
 func (f *feed) next(now time.Time) *daisyhatchv1.FollowResponse {
 	c := f.control
 	view, _ := c.opts.Machine.View()
--- a/pkg/fleet/follower.go
+++ b/pkg/fleet/follower.go
@@ -56,7 +56,7 @@
 	opts FollowerOptions
 
 	mu sync.Mutex
-	// streams are the streams by the control VM's address.
+	// streams holds the streams by the address of their control VM.
 	streams map[string]*followStream
 	// avoidUntil is the time until which an address whose stream failed is passed over while there are others.
 	avoidUntil map[string]time.Time
@@ -67,7 +67,7 @@
 // followStream is the stream from one control VM.
 type followStream struct {
 	cancel context.CancelFunc
-	// startedAt is when it was first tried to open.
+	// startedAt is when the first attempt to open the stream began.
 	startedAt time.Time
 	// openedAt is when the stream was opened; zero while it is closed.
 	openedAt time.Time
--- a/pkg/fleet/state.go
+++ b/pkg/fleet/state.go
@@ -16,8 +16,8 @@
 // announcements are older than the return by up to two announcement intervals.
 const coldAfterReturn = 2600 * time.Millisecond
 
-// State is what a VM of a fleet knows: the configuration in force, the failure domains out of service, and the backend
-// servers. It is safe for concurrent use.
+// State is what a VM of a fleet knows: the configuration in force, the failure domains out of service, the backend
+// servers, the owners of stage calls and the entry VMs. It is safe for concurrent use.
 type State struct {
 	mu       sync.RWMutex
 	config   *catalog.Set
