--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -158,7 +158,7 @@
 	reporter.PreferLocal(f.control)
 	p.handle(f.control.Handler(compressLarge()))
 	r := chi.NewRouter()
-	f.dialect.Operators(r, f.control)
+	f.dialect.AddControlRoutes(r, f.control)
 	f.operators = listen.New(listen.Options{
 		Name: "operators", Address: f.settings.Listen.Operators.String(), Handler: r, Network: f.network, Log: k.Log(),
 	})
@@ -392,7 +392,7 @@
 		}),
 		Pool:        f.pool,
 		Suspects:    f.suspects,
-		Repeats:     allowance.NewRepeats(s.RetryRatio, s.RetryExtra, s.RetryWindow),
+		Repeats:     allowance.NewRetryBudget(s.RetryRatio, s.RetryExtra, s.RetryWindow),
 		ColdOverrun: s.ColdOverrun, ColdExtra: s.ColdExtra, Log: k.Log().WithName("relay"),
 	})
 	o.addCheck("configuration", f.ready)
--- a/pkg/fleet/state.go
+++ b/pkg/fleet/state.go
@@ -35,7 +35,7 @@
 	entries     entryTable
 	confirmedAt time.Time
 	// holdoffs are the notices in servers' answers to this VM that they accept no calls.
-	holdoffs *holdoff.Book
+	holdoffs *holdoff.Tracker
 	owners   map[string]stageowner.Owner
 	// ownersChanged is closed when an owner changes.
 	ownersChanged chan struct{}
@@ -61,7 +61,7 @@
 // NewState returns an empty State.
 func NewState() *State {
 	s := &State{
-		domainsOut: make(map[string]time.Time), domainsReturned: make(map[string]time.Time), dir: directory.New(), changed: make(chan struct{}), holdoffs: holdoff.NewBook(),
+		domainsOut: make(map[string]time.Time), domainsReturned: make(map[string]time.Time), dir: directory.New(), changed: make(chan struct{}), holdoffs: holdoff.NewTracker(),
 		entries: newEntryTable(), owners: make(map[string]stageowner.Owner), ownersChanged: make(chan struct{}),
 	}
 	for k := range s.stamps {
@@ -258,7 +258,7 @@
 	defer s.mu.RUnlock()
 	var out []Candidate
 	for _, v := range s.dir.Serving(service) {
-		if _, isOut := s.domainsOut[v.Domain]; isOut || !s.holdoffs.Open(v.ID, v.Incarnation(), now) {
+		if _, isOut := s.domainsOut[v.Domain]; isOut || !s.holdoffs.Available(v.ID, v.Incarnation(), now) {
 			continue
 		}
 		out = append(out, Candidate{Server: v, Cold: s.cold(v, now)})
@@ -284,7 +284,7 @@
 		return false
 	}
 	_, out := s.domainsOut[v.Domain]
-	return !out && s.holdoffs.Open(id, v.Incarnation(), time.Now())
+	return !out && s.holdoffs.Available(id, v.Incarnation(), time.Now())
 }
 
 // Noticed records a notice from an answer of this incarnation of a server to this VM, and reports whether it is new.
@@ -294,7 +294,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holdoffs.Note(v.ID, v.Incarnation(), n, now)
+	return s.holdoffs.Record(v.ID, v.Incarnation(), n, now)
 }
 
 // Back returns the time until the first server of a service accepts calls again; false if one accepts calls now, or
@@ -307,10 +307,10 @@
 		if _, isOut := s.domainsOut[v.Domain]; isOut {
 			continue
 		}
-		if s.holdoffs.Open(v.ID, v.Incarnation(), now) {
+		if s.holdoffs.Available(v.ID, v.Incarnation(), now) {
 			return 0, false
 		}
-		if at, ok := s.holdoffs.Back(v.ID, v.Incarnation(), now); ok && (!found || at.Before(first)) {
+		if at, ok := s.holdoffs.AvailableAt(v.ID, v.Incarnation(), now); ok && (!found || at.Before(first)) {
 			first, found = at, true
 		}
 	}
@@ -321,7 +321,7 @@
 func (s *State) Open(v directory.Server, now time.Time) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.holdoffs.Open(v.ID, v.Incarnation(), now)
+	return s.holdoffs.Available(v.ID, v.Incarnation(), now)
 }
 
 // ServerAt returns the server to which an address belongs; false when none is known.
