--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -155,10 +155,10 @@
 		Node: f.node, Machine: machine, State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, HTTP: p.client,
 		Suspects: f.suspects.UpdateSuspects, Log: k.Log().WithName("control"),
 	}, stages)
-	reporter.PreferOwn(f.control)
+	reporter.PreferLocal(f.control)
 	p.handle(f.control.Handler(compressLarge()))
 	r := chi.NewRouter()
-	f.dialect.Operators(r, f.control)
+	f.dialect.AddControlRoutes(r, f.control)
 	f.operators = listen.New(listen.Options{
 		Name: "operators", Address: f.settings.Listen.Operators.String(), Handler: r, Network: f.network, Log: k.Log(),
 	})
@@ -211,7 +211,7 @@
 
 // Stop implements kernel.Service.
 func (f *fleetControl) Stop(ctx context.Context) error {
-	f.control.ReleaseStages(ctx)
+	f.control.ReleaseStageOwnership(ctx)
 	err := f.operators.Stop(ctx)
 	f.cancel()
 	<-f.done
@@ -387,12 +387,12 @@
 	f.relay = relay.New(relay.Options{
 		VM: f.settings.VM.Name, FailureDomain: f.settings.VM.FailureDomain, Dialect: f.dialect, Knowledge: f.state,
 		Stages: stageclient.New(stageclient.Options{
-			Known: f.state, Heard: w.follower.Heard, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
+			Known: f.state, Heard: w.follower.Connected, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
 			Log: k.Log().WithName("stages"),
 		}),
 		Pool:        f.pool,
 		Suspects:    f.suspects,
-		Repeats:     allowance.NewRepeats(s.RetryRatio, s.RetryExtra, s.RetryWindow),
+		Repeats:     allowance.NewRetryBudget(s.RetryRatio, s.RetryExtra, s.RetryWindow),
 		ColdOverrun: s.ColdOverrun, ColdExtra: s.ColdExtra, Log: k.Log().WithName("relay"),
 	})
 	o.addCheck("configuration", f.ready)
