--- a/pkg/relay/decide.go
+++ b/pkg/relay/decide.go
@@ -6,107 +6,110 @@
 	"github.com/daisyhatch/daisyhatch/pkg/catalog"
 )
 
-// ending is how one send to a server ended.
-type ending int
+// sendStatus is the result of one send to a server.
+type sendStatus int
 
 const (
-	// endedWell: the answer was delivered.
-	endedWell ending = iota
-	// endedUnsent: no byte has left.
-	endedUnsent
-	// endedNotRun: the server says that it did not run the request.
-	endedNotRun
-	// endedUnknown: the request may have run, and there is no answer of the server's to deliver.
-	endedUnknown
-	// endedFailed: the server ran the request and answered with a failure, which may be delivered.
-	endedFailed
-	// endedGone: the inputs of the request are gone; it has not run.
-	endedGone
+	// sendAnswered: the server answered, and the answer can be delivered.
+	sendAnswered sendStatus = iota
+	// sendNotSent: no byte of the request was sent.
+	sendNotSent
+	// sendNotRun: the server answered that it did not run the request.
+	sendNotRun
+	// sendOutcomeUnknown: the request may have run, and there is no answer of the server to deliver.
+	sendOutcomeUnknown
+	// sendServerFailed: the server ran the request and answered with an error status, which may be delivered.
+	sendServerFailed
+	// sendInputsGone: the server did not find the inputs of the request, which has not run.
+	sendInputsGone
 )
 
-// step is what follows a send.
-type step int
+// action is what the relay does after a send.
+type action int
 
 const (
-	// stepDeliver hands the server's own answer on.
-	stepDeliver step = iota
-	// stepRepeat sends the request to another server.
-	stepRepeat
-	// stepRefuse answers that the request has not run.
-	stepRefuse
-	// stepFail answers that the request may have run.
-	stepFail
-	// stepRestage runs the stages anew and sends the request again.
-	stepRestage
-	// stepCut ends the connection, since part of the answer has been delivered.
-	stepCut
+	// actionDeliver passes the server's answer to the caller.
+	actionDeliver action = iota
+	// actionRetry sends the request to another server.
+	actionRetry
+	// actionRefuse answers that the request has not run.
+	actionRefuse
+	// actionFail answers that the request may have run.
+	actionFail
+	// actionRerunStages runs the stages again and then sends the request again.
+	actionRerunStages
+	// actionAbort closes the caller's connection, since part of the answer was already delivered.
+	actionAbort
 )
 
-// situation is what decides about the step after a send.
-type situation struct {
-	ending ending
+// sendState is the input of nextAction.
+type sendState struct {
+	status sendStatus
 	route  *catalog.Route
-	// runs is how many servers may have run the request.
+	// runs is the number of servers that may have run the request.
 	runs int
-	// sends is how many sends there were, runs included.
+	// sends is the number of sends, including those counted in runs.
 	sends int
-	// delivered is true when part of the answer has gone to the caller.
+	// delivered is true when part of the answer was sent to the caller.
 	delivered bool
-	left      time.Duration
-	// restage is true when there is time to run the stages anew.
-	restage bool
-	// inputsGone is true when the stages must run anew before the request can be sent again.
-	inputsGone bool
-	// crashes is how many servers are known to have ended under the request, in this attempt or before.
+	remaining time.Duration
+	// canRerunStages is true when there is time to run the stages again.
+	canRerunStages bool
+	// inputsReleased is true when the stages must run again before the request can be sent again.
+	inputsReleased bool
+	// crashes is the number of servers known to have crashed while they ran the request, in this attempt or earlier
+	// ones.
 	crashes int
-	// others is how many servers there are that have not been tried.
-	others int
-	// allowed asks the budget of repeats; it takes one.
-	allowed func() bool
+	// untried is the number of serving servers that have not been tried.
+	untried int
+	// takeRetry takes one retry from the budget of the service; false when none is left.
+	takeRetry func() bool
 }
 
 const (
-	// maxSends bounds the sends of one request, refused ones included.
+	// maxSends bounds the sends of one request, including those that servers refused.
 	maxSends = 4
-	// leastLeft is the time below which a repeat can't help.
-	leastLeft = 40 * time.Millisecond
-	// maxCrashes is from how many ends of servers under a request it is not repeated here: one may have been chance.
+	// minRetryTime is the remaining time below which a retry can't succeed any more.
+	minRetryTime = 40 * time.Millisecond
+	// maxCrashes is the number of server crashes at which the request is no longer retried. A single crash may be a
+	// coincidence.
 	maxCrashes = 2
 )
 
-// next decides what follows a send. A request that has not run may be sent to another server whatever its kind; one that
-// may have run only when its route is repeatable and allows another server. A repeat needs time, a server that has not
-// been tried, and a place in the budget that all VMs share. One under which servers go on ending is not repeated.
-func next(s situation) step {
-	mayRepeat := s.left >= leastLeft && s.others > 0 && s.sends < maxSends && (!s.inputsGone || s.restage)
-	switch s.ending {
-	case endedWell:
-		return stepDeliver
-	case endedUnsent:
-		if mayRepeat {
-			return stepRepeat
+// nextAction decides what follows a send. A request that has not run may be sent to another server whatever the kind of
+// its route; one that may have run only if its route is repeatable and allows another server. A retry needs enough
+// time, an untried server and, unless nothing was sent, a place in the retry budget that all VMs share. A request under
+// which maxCrashes servers crashed is not retried after a send that may have run.
+func nextAction(s sendState) action {
+	mayRetry := s.remaining >= minRetryTime && s.untried > 0 && s.sends < maxSends && (!s.inputsReleased || s.canRerunStages)
+	switch s.status {
+	case sendAnswered:
+		return actionDeliver
+	case sendNotSent:
+		if mayRetry {
+			return actionRetry
 		}
-	case endedNotRun:
-		if mayRepeat && s.allowed() {
-			return stepRepeat
+	case sendNotRun:
+		if mayRetry && s.takeRetry() {
+			return actionRetry
 		}
-	case endedGone:
-		if s.restage && !s.delivered {
-			return stepRestage
+	case sendInputsGone:
+		if s.canRerunStages && !s.delivered {
+			return actionRerunStages
 		}
-	case endedUnknown, endedFailed:
-		if mayRepeat && s.crashes < maxCrashes && s.route.Repeatable() && s.runs < s.route.MaxServers && s.allowed() {
-			return stepRepeat
+	case sendOutcomeUnknown, sendServerFailed:
+		if mayRetry && s.crashes < maxCrashes && s.route.Repeatable() && s.runs < s.route.MaxServers && s.takeRetry() {
+			return actionRetry
 		}
-		if s.ending == endedFailed && !s.delivered {
-			return stepDeliver
+		if s.status == sendServerFailed && !s.delivered {
+			return actionDeliver
 		}
 	}
 	switch {
 	case s.delivered:
-		return stepCut
+		return actionAbort
 	case s.runs > 0:
-		return stepFail
+		return actionFail
 	}
-	return stepRefuse
+	return actionRefuse
 }
--- a/pkg/relay/health.go
+++ b/pkg/relay/health.go
@@ -2,42 +2,45 @@
 
 import "time"
 
-// Times of health.
+// Health parameters.
 const (
-	// avoidFirst and avoidMost are how long a server that failed is avoided, doubled with each failure in a row.
-	avoidFirst = 400 * time.Millisecond
-	avoidMost  = 4 * time.Second
-	// failureMemory is how long a failure makes a server look worse than its fellows.
-	failureMemory = 8 * time.Second
-	// trustFor is how long an answer shows that a server lives that the control VMs don't hear.
-	trustFor = 2 * time.Second
-	// healthSmoothing is the weight of the newest time to the first byte.
-	healthSmoothing = 0.2
+	// minBackoff and maxBackoff bound how long a server is avoided after a failed call; the time doubles with each
+	// consecutive failure.
+	minBackoff = 400 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// failureDecayTime is how long a failure lowers a server's rank.
+	failureDecayTime = 8 * time.Second
+	// answerTrustTime is how long after an answer a server that the control VMs do not hear from counts as alive.
+	answerTrustTime = 2 * time.Second
+	// firstByteSmoothing is the weight of the newest sample in the average time to first byte.
+	firstByteSmoothing = 0.2
 )
 
-// health is what this VM's own calls say about servers. The relay's lock guards it.
+// health records what this VM's own calls showed about servers. Relay.mu guards it.
 type health struct {
 	servers map[string]*serverHealth
-	// usual is the average time to the first byte of a service's servers.
-	usual map[string]time.Duration
+	// avgFirstByte is the average time to first byte over the servers of a service, by service name.
+	avgFirstByte map[string]time.Duration
 }
 
 type serverHealth struct {
-	failures int
-	avoided  time.Time
-	failedAt time.Time
-	// weight counts recent failures; it decays over failureMemory.
-	weight float64
-	first  time.Duration
-	// answeredAt is when it last answered this VM.
-	answeredAt time.Time
+	// failures counts consecutive failures.
+	failures     int
+	backoffUntil time.Time
+	lastFailure  time.Time
+	// failureWeight is the decaying count of recent failures as of lastFailure; see decayedWeight.
+	failureWeight float64
+	// firstByte is the smoothed time to first byte; 0 without samples.
+	firstByte time.Duration
+	// lastAnswer is when the server last answered a call of this VM.
+	lastAnswer time.Time
 }
 
 func newHealth() *health {
-	return &health{servers: make(map[string]*serverHealth), usual: make(map[string]time.Duration)}
+	return &health{servers: make(map[string]*serverHealth), avgFirstByte: make(map[string]time.Duration)}
 }
 
-func (h *health) get(id string) *serverHealth {
+func (h *health) getOrCreate(id string) *serverHealth {
 	s := h.servers[id]
 	if s == nil {
 		s = &serverHealth{}
@@ -46,70 +49,72 @@
 	return s
 }
 
-// usable reports whether a server isn't avoided now.
+// usable reports whether a server is outside its backoff time.
 func (h *health) usable(id string, now time.Time) bool {
 	s := h.servers[id]
-	return s == nil || !now.Before(s.avoided)
+	return s == nil || !now.Before(s.backoffUntil)
 }
 
-// trusted reports whether a server that the control VMs don't hear may be used as any other: it answered this VM lately.
-func (h *health) trusted(id string, now time.Time) bool {
+// recentlyAnswered reports whether a server answered this VM within answerTrustTime. Such a server is used like any
+// other even when the control VMs do not hear from it.
+func (h *health) recentlyAnswered(id string, now time.Time) bool {
 	s := h.servers[id]
-	return s != nil && now.Sub(s.answeredAt) < trustFor
+	return s != nil && now.Sub(s.lastAnswer) < answerTrustTime
 }
 
-// failed notes a call that got no answer.
-func (h *health) failed(id string, now time.Time) {
-	s := h.get(id)
-	s.weight = s.decayed(now) + 1
+// recordFailure records a call without a usable answer and starts or extends the server's backoff.
+func (h *health) recordFailure(id string, now time.Time) {
+	s := h.getOrCreate(id)
+	s.failureWeight = s.decayedWeight(now) + 1
 	s.failures++
-	s.failedAt = now
-	s.avoided = now.Add(min(avoidFirst<<min(s.failures-1, 8), avoidMost))
+	s.lastFailure = now
+	s.backoffUntil = now.Add(min(minBackoff<<min(s.failures-1, 8), maxBackoff))
 }
 
-// decayed returns the weight of recent failures.
-func (s *serverHealth) decayed(now time.Time) float64 {
-	age := now.Sub(s.failedAt)
-	if age >= failureMemory {
+// decayedWeight returns the failure weight at now; it falls linearly to 0 over failureDecayTime.
+func (s *serverHealth) decayedWeight(now time.Time) float64 {
+	age := now.Sub(s.lastFailure)
+	if age >= failureDecayTime {
 		return 0
 	}
-	return s.weight * (1 - float64(age)/float64(failureMemory))
+	return s.failureWeight * (1 - float64(age)/float64(failureDecayTime))
 }
 
-// suspicion returns how much worse than its fellows a server looks, 0 for a sound one.
-func (h *health) suspicion(id string, now time.Time) float64 {
+// failureScore returns the decayed number of recent failures; 0 for a server without any.
+func (h *health) failureScore(id string, now time.Time) float64 {
 	s := h.servers[id]
 	if s == nil {
 		return 0
 	}
-	return s.decayed(now)
+	return s.decayedWeight(now)
 }
 
-// answered notes a call's time to the first byte.
-func (h *health) answered(service, id string, first time.Duration, now time.Time) {
-	s := h.get(id)
-	s.answeredAt = now
+// recordAnswer records an answer and its time to first byte, and ends the server's run of consecutive failures.
+func (h *health) recordAnswer(service, id string, first time.Duration, now time.Time) {
+	s := h.getOrCreate(id)
+	s.lastAnswer = now
 	s.failures = 0
-	if s.first == 0 {
-		s.first = first
+	if s.firstByte == 0 {
+		s.firstByte = first
 	}
-	s.first += time.Duration(healthSmoothing * float64(first-s.first))
-	if h.usual[service] == 0 {
-		h.usual[service] = first
+	s.firstByte += time.Duration(firstByteSmoothing * float64(first-s.firstByte))
+	if h.avgFirstByte[service] == 0 {
+		h.avgFirstByte[service] = first
 	}
-	// The service's average moves more slowly, since it has more samples.
-	h.usual[service] += time.Duration(healthSmoothing / 8 * float64(first-h.usual[service]))
+	// The service average gets samples from all servers, so each one has a smaller weight.
+	h.avgFirstByte[service] += time.Duration(firstByteSmoothing / 8 * float64(first-h.avgFirstByte[service]))
 }
 
-// slowness is the ratio of a server's time to its service's usual one; 1 when nothing is known.
+// slowness returns the ratio of a server's time to first byte to its service's average; 1 when there are no samples.
 func (h *health) slowness(service, id string) float64 {
-	s, usual := h.servers[id], h.usual[service]
-	if s == nil || s.first == 0 || usual == 0 {
+	s, average := h.servers[id], h.avgFirstByte[service]
+	if s == nil || s.firstByte == 0 || average == 0 {
 		return 1
 	}
-	return float64(s.first) / float64(usual)
+	return float64(s.firstByte) / float64(average)
 }
 
+// retain drops the servers for which keep returns false.
 func (h *health) retain(keep func(id string) bool) {
 	for id := range h.servers {
 		if !keep(id) {
--- a/pkg/relay/inputs.go
+++ b/pkg/relay/inputs.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// stageInputs are the results of stages that the request itself needs. They take scarce room at their servers, so they
-// are given up as soon as the request's server has read them. A nil one is empty. It is safe for concurrent use once
-// handles are set.
+// stageInputs are the stage results that the request itself reads. They occupy limited memory on the servers that hold
+// them, so they are released as soon as the request's server has read them. A nil *stageInputs is empty. It is safe for
+// concurrent use once handles is set.
 type stageInputs struct {
-	handles []string
-	free    func(handles []string)
-	givenUp atomic.Bool
+	handles  []string
+	free     func(handles []string)
+	released atomic.Bool
 }
 
 func (s *stageInputs) list() []string {
@@ -18,12 +18,12 @@
 	return s.handles
 }
 
-// giveUp gives the results up; only the first call counts.
-func (s *stageInputs) giveUp() {
-	if s != nil && len(s.handles) > 0 && !s.givenUp.Swap(true) {
+// release frees the results. Calls after the first do nothing.
+func (s *stageInputs) release() {
+	if s != nil && len(s.handles) > 0 && !s.released.Swap(true) {
 		s.free(s.handles)
 	}
 }
 
-// gone reports whether a server that gets the request now would not find its inputs.
-func (s *stageInputs) gone() bool { return s != nil && s.givenUp.Load() }
+// isReleased reports whether the results were released, so that a server that gets the request now would not find them.
+func (s *stageInputs) isReleased() bool { return s != nil && s.released.Load() }
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay takes callers' raw HTTP requests through the stages of their route to a backend server and the server's
-// answer back, unchanged. What may be repeated follows from the route's kind; a refusal says that a request has not run
-// only when no byte of it has left, or its server said so.
+// Package relay forwards callers' raw HTTP requests through the stages of their route to a backend server, and returns
+// the server's answer unchanged. The kind of the route determines whether a request may be repeated. A refusal states
+// that a request has not run; it is given only when no byte of the request was sent or the server stated that it did
+// not run it.
 package relay
 
 import (
@@ -34,26 +35,32 @@
 	"github.com/daisyhatch/daisyhatch/pkg/upstream"
 )
 
-// Knowledge is what the relay knows of the system.
+// Knowledge is the relay's view of the system: the configuration and the state of servers and VMs.
 type Knowledge interface {
+	// Catalog returns the configuration in force; nil while none is known.
 	Catalog() *catalog.Set
+	// Current reports whether the control group has confirmed the state at least once since the process started.
 	Current() bool
+	// ContactAge returns how long ago a control VM confirmed the state.
 	ContactAge(now time.Time) time.Duration
+	// Number returns the number of the replicated state that is known.
 	Number() uint64
+	// Serving returns the servers of a service that may get new requests now.
 	Serving(service string, now time.Time) []fleet.Candidate
+	// Allowed reports whether a server may still get new requests.
 	Allowed(server string) bool
-	// Server returns what is known of a server; false when nothing is.
+	// Server returns the last known state of a server; false when it is unknown.
 	Server(id string) (directory.Server, bool)
-	// Noticed takes over what an incarnation of a server said in an answer, and reports whether that is news.
+	// Noticed records what an incarnation of a server reported in an answer, and reports whether that is new.
 	Noticed(v directory.Server, n holdoff.Notice, now time.Time) bool
-	// Back returns when the first server of a service that wants no calls now takes them again; false when one takes them
-	// now, or none will.
+	// Back returns the time until the first server of a service that wants no calls now accepts them again; false when
+	// one accepts them now, or none will.
 	Back(service string, now time.Time) (time.Duration, bool)
-	// Entries returns the ids of the entry VMs that share bounds.
+	// Entries returns the ids of the entry VMs that share the bounds on retries and cold servers.
 	Entries(now time.Time) []uint64
 }
 
-// Options are what a Relay is made from.
+// Options configure a Relay.
 type Options struct {
 	VM            string
 	FailureDomain string
@@ -61,78 +68,80 @@
 	Knowledge     Knowledge
 	Stages        Stages
 	Pool          *upstream.Pool
-	// Suspects keeps requests under which servers ended from being sent on.
+	// Suspects refuses requests that are suspected of crashing servers.
 	Suspects *quarantine.Tracker
-	// Repeats bounds the sends beyond the first.
+	// Repeats limits retries: sends of a request beyond the first.
 	Repeats *allowance.Repeats
-	// ColdOverrun and ColdExtra bound what a cold server gets in a second from all VMs.
+	// ColdOverrun and ColdExtra bound the requests per second that a cold server gets from all VMs: its configured rate
+	// times ColdOverrun, plus ColdExtra.
 	ColdOverrun float64
 	ColdExtra   float64
 	Log         logr.Logger
 }
 
 const (
-	// noConfigurationRetry is when a caller may come back to a VM that knows no configuration yet: it mostly has one
+	// noConfigurationRetryAfter is the Retry-After time of a VM that has no configuration yet; it usually gets one
 	// within a second of its start.
-	noConfigurationRetry = time.Second
-	// noServerRetry is when a caller may come back while a service has no server: two announcement intervals hold a
-	// restart.
-	noServerRetry = 700 * time.Millisecond
-	// defaultPatience is how long a caller that doesn't say waits.
-	defaultPatience = 30 * time.Second
-	// housekeepInterval is how often old knowledge is dropped.
-	housekeepInterval = 2 * time.Second
+	noConfigurationRetryAfter = time.Second
+	// noServerRetryAfter is the shortest Retry-After time while a service has no server. A restart fits into two
+	// announcement intervals.
+	noServerRetryAfter = 700 * time.Millisecond
+	// defaultCallerTimeout applies to callers that do not state a timeout.
+	defaultCallerTimeout = 30 * time.Second
+	// cleanupInterval is how often state of removed servers and expired idle connections are dropped.
+	cleanupInterval = 2 * time.Second
 )
 
-// Relay serves callers.
+// Relay is an http.Handler that forwards requests to backend servers. It is safe for concurrent use.
 type Relay struct {
-	opts     Options
-	cold     *allowance.Window
-	answered *logsink.Budget
-	stopping atomic.Bool
-	liveness *liveness.Checker
+	opts        Options
+	cold        *allowance.Window
+	answeredLog *logsink.Budget
+	stopping    atomic.Bool
+	liveness    *liveness.Checker
 
-	mu     sync.Mutex
-	health *health
-	book   *placement.Book
-	plain  map[string]int
-	// patience is the longest that callers of each route were ready to wait.
-	patience map[string]time.Duration
+	mu         sync.Mutex
+	health     *health
+	placements *placement.Book
+	// plainInFlight is the number of requests that this VM runs on each server of services without an engine.
+	plainInFlight map[string]int
+	// maxTimeout is the longest caller timeout seen so far, by route name.
+	maxTimeout map[string]time.Duration
 }
 
-// New returns a Relay.
+// New returns a Relay. Run must be called for its periodic cleanup.
 func New(o Options) *Relay {
 	return &Relay{
-		opts: o, cold: allowance.NewWindow(time.Second), answered: logsink.NewBudget(logsink.AnsweredPerSecond), health: newHealth(), book: placement.NewBook(),
-		plain: make(map[string]int), patience: make(map[string]time.Duration),
+		opts: o, cold: allowance.NewWindow(time.Second), answeredLog: logsink.NewBudget(logsink.AnsweredPerSecond), health: newHealth(), placements: placement.NewBook(),
+		plainInFlight: make(map[string]int), maxTimeout: make(map[string]time.Duration),
 		liveness: liveness.New(o.Pool, func(id string) (directory.Server, bool) { return o.Knowledge.Server(id) }),
 	}
 }
 
 const (
-	// returnedBelow is the share of the longest patience below which a caller is taken to come back after a refusal: the
-	// patience of callers of one route differs by some 15 %.
-	returnedBelow = 0.8
-	// usualPatience is the average patience of first attempts as a share of the longest.
-	usualPatience = 0.92
+	// returnedFraction is the fraction of the longest timeout of a route below which a caller is taken to have returned
+	// after a refusal. Timeouts of first attempts on one route vary by some 15 %.
+	returnedFraction = 0.8
+	// averageFraction is the average timeout of first attempts as a fraction of the longest.
+	averageFraction = 0.92
 )
 
-// waited returns how long a caller has waited already: one that was refused and came back has clearly less patience than
-// the callers of its route have at first.
-func (r *Relay) waited(route string, patience time.Duration) time.Duration {
+// estimateWaited estimates how long a caller has already waited in earlier attempts. A caller that returns after a
+// refusal has clearly less time left than first attempts on its route.
+func (r *Relay) estimateWaited(route string, timeout time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	longest := max(r.patience[route], patience)
-	r.patience[route] = longest
-	if float64(patience) >= returnedBelow*float64(longest) {
+	longest := max(r.maxTimeout[route], timeout)
+	r.maxTimeout[route] = longest
+	if float64(timeout) >= returnedFraction*float64(longest) {
 		return 0
 	}
-	return time.Duration(usualPatience*float64(longest)) - patience
+	return time.Duration(averageFraction*float64(longest)) - timeout
 }
 
-// Run drops old knowledge until ctx ends.
+// Run periodically drops outdated state until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
-	t := time.NewTicker(housekeepInterval)
+	t := time.NewTicker(cleanupInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -142,14 +151,14 @@
 			r.opts.Pool.Sweep()
 			r.mu.Lock()
 			keep := r.opts.Knowledge.Allowed
-			r.book.Retain(keep, time.Now())
+			r.placements.Retain(keep, time.Now())
 			r.health.retain(keep)
 			r.mu.Unlock()
 		}
 	}
 }
 
-// Drain makes the relay ask callers to move to another VM.
+// Drain makes the relay close callers' connections after each answer, so that they move to another VM.
 func (r *Relay) Drain() { r.stopping.Store(true) }
 
 // ServeHTTP implements http.Handler.
@@ -158,8 +167,8 @@
 	if r.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &exchange{relay: r, w: w, req: req, begin: begin}
-	if !x.accept() || x.suspected() {
+	x := &exchange{relay: r, w: w, req: req, start: begin}
+	if !x.accept() || x.refusedAsSuspect() {
 		x.finish()
 		return
 	}
@@ -170,70 +179,77 @@
 	x.run()
 }
 
-// errDeadline ends what outlasts the caller's patience or the route's timeout.
+// errDeadline is the cancellation cause when a request exceeds the caller's timeout or the route's.
 var errDeadline = errors.New("relay: the request's time is over")
 
-// exchange is one caller's request.
+// exchange is the state of one caller's request.
 type exchange struct {
 	relay    *Relay
 	w        http.ResponseWriter
 	req      *http.Request
 	ctx      context.Context
-	begin    time.Time
+	start    time.Time
 	deadline time.Time
-	// waited is how long the caller had waited before, in an attempt that was refused.
+	// waited is the estimated time that the caller spent in earlier, refused attempts.
 	waited time.Duration
 
-	set          *catalog.Set
+	catalog      *catalog.Set
 	route        *catalog.Route
 	service      *catalog.Service
 	organisation string
 	priority     catalog.Priority
 	call         dialect.Call
 	body         []byte
-	// print is the request's fingerprint.
-	print uint64
+	// fingerprint identifies the request by its content.
+	fingerprint uint64
 
 	inputs *stageInputs
-	// expires is when the results of each stage are gone.
-	expires []time.Time
+	// resultExpiry is, by stage, the latest time at which a stage that reads its results may start.
+	resultExpiry []time.Time
+	// inputMB is the size of inputs in MB, by failure domain.
 	inputMB map[string]float64
-	// home is the failure domain of the server that the request would have gone to before its stages.
-	home string
-	// failedStage is the service of the stage that ended the latest run of the stages; empty when all were done.
+	// engineDomain is the failure domain of the server that ranked first when the stages were started.
+	engineDomain string
+	// failedStage is the service of the stage that made the latest run of the stages fail; empty when all succeeded.
 	failedStage string
-	// chains is how often the stages were run.
-	chains int
-	sent   *placement.Sent
-	// tried are the servers that were sent the request, in order.
+	// stageRuns is how often the stages were run.
+	stageRuns int
+	// placed is the current send to an engine; nil without one.
+	placed *placement.Sent
+	// tried lists the servers to which a send was attempted, in order.
 	tried []string
-	ran   int
-	// onServer is true from a send to its end in the books.
-	onServer bool
-	// flight is the run on the latest server.
-	flight *quarantine.Run
-	// lastEvent is the id of the last event delivered.
-	lastEvent string
-	started   bool
-	abort     bool
+	// possibleRuns is the number of servers that may have run the request.
+	possibleRuns int
+	// inFlight is true between recordStart and recordEnd.
+	inFlight bool
+	// serverRun is the current or latest run of the request on a server.
+	serverRun *quarantine.Run
+	// lastEventID is the id of the last event delivered.
+	lastEventID string
+	// headSent is true once the head of a streamed answer was written to the caller.
+	headSent bool
+	// abort makes finish abort the caller's connection.
+	abort bool
 
+	// status, outcome and reason are what the request's log line and metrics state.
 	status  int
 	outcome string
 	reason  string
-	staged  time.Duration
-	first   time.Duration
+	// stagesTook and firstByte are times since start: to the end of the stages and to the first byte of the answer.
+	stagesTook time.Duration
+	firstByte  time.Duration
 }
 
-// accept checks the request and answers it when it can't be served; false then.
+// accept checks the request. If the request can't be served, it answers it and returns false.
 func (x *exchange) accept() bool {
 	k := x.relay.opts.Knowledge
-	x.set = k.Catalog()
-	if x.set == nil || !k.Current() {
-		x.refuse(http.StatusServiceUnavailable, noConfigurationRetry, "no configuration is known yet")
+	x.catalog = k.Catalog()
+	if x.catalog == nil || !k.Current() {
+		x.refuse(http.StatusServiceUnavailable, noConfigurationRetryAfter, "no configuration is known yet")
 		return false
 	}
 	path, _, _ := strings.Cut(x.req.RequestURI, "?")
-	x.route = x.set.Match(hostOf(x.req.Host), path)
+	x.route = x.catalog.Match(hostOf(x.req.Host), path)
 	if x.route == nil {
 		x.refuse(http.StatusNotFound, 0, "no route matches")
 		return false
@@ -246,18 +262,18 @@
 	if !x.authenticate() {
 		return false
 	}
-	patience := x.call.Patience
-	if patience <= 0 {
-		patience = defaultPatience
+	timeout := x.call.Patience
+	if timeout <= 0 {
+		timeout = defaultCallerTimeout
 	}
-	x.deadline = x.begin.Add(min(patience, x.route.Timeout))
-	x.waited = x.relay.waited(x.route.Name, patience)
-	x.lastEvent = x.call.ResumeAfter
+	x.deadline = x.start.Add(min(timeout, x.route.Timeout))
+	x.waited = x.relay.estimateWaited(x.route.Name, timeout)
+	x.lastEventID = x.call.ResumeAfter
 	return x.readBody()
 }
 
-// target is until when the answer has its full worth.
-func (x *exchange) target() time.Time { return x.begin.Add(x.route.Target - x.waited) }
+// targetTime returns the time until which the answer has its full value.
+func (x *exchange) targetTime() time.Time { return x.start.Add(x.route.Target - x.waited) }
 
 func hostOf(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
@@ -268,10 +284,10 @@
 
 func (x *exchange) authenticate() bool {
 	x.priority = x.route.Priority
-	if !x.set.KeysNeeded() || x.route.Public {
+	if !x.catalog.KeysNeeded() || x.route.Public {
 		return true
 	}
-	o := x.set.Organisation(x.call.Key)
+	o := x.catalog.Organisation(x.call.Key)
 	if o == nil {
 		x.refuse(http.StatusUnauthorized, 0, "unknown key")
 		return false
@@ -283,10 +299,10 @@
 	return true
 }
 
-// readBody reads the whole body, since a request may have to be sent twice and the caller's leaving is noticed only
-// behind it.
+// readBody reads the whole body: the request may have to be sent again, and net/http detects that the caller
+// disconnected only once the body was read.
 func (x *exchange) readBody() bool {
-	limit := x.set.Limits.MaxBody
+	limit := x.catalog.Limits.MaxBody
 	if limit > 0 && x.req.ContentLength > limit {
 		x.refuse(http.StatusRequestEntityTooLarge, 0, "the body is too large")
 		return false
@@ -302,26 +318,26 @@
 		x.refuse(http.StatusRequestEntityTooLarge, 0, "the body is too large")
 		return false
 	case err != nil:
-		x.outcome, x.reason, x.abort = "left", "the body ended early: "+err.Error(), true
+		x.outcome, x.reason, x.abort = "left", "reading the request body failed: "+err.Error(), true
 		return false
 	}
 	x.body = body
-	x.print = suspect.Fingerprint(x.organisation, x.req.Host+x.req.RequestURI, body)
+	x.fingerprint = suspect.Fingerprint(x.organisation, x.req.Host+x.req.RequestURI, body)
 	return true
 }
 
-// refuse answers a request that has not run.
+// refuse answers a request that has not run. A positive retryAfter sets the Retry-After header.
 func (x *exchange) refuse(status int, retryAfter time.Duration, reason string) {
 	x.outcome, x.status, x.reason = "refused", status, reason
 	h := x.w.Header()
 	if retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(spread(retryAfter).Seconds(), 'f', 3, 64))
+		h.Set("Retry-After", strconv.FormatFloat(jitter(retryAfter).Seconds(), 'f', 3, 64))
 	}
 	x.write(status, reason)
 }
 
-// spread moves a time to come back by up to a fifth, so that callers refused together don't return together.
-func spread(d time.Duration) time.Duration {
+// jitter lengthens a retry time by up to a fifth, so that callers refused together don't return together.
+func jitter(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Float64()*0.2*float64(d))
 }
 
@@ -336,21 +352,21 @@
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(text)+1))
 	x.w.WriteHeader(status)
-	// The caller may be gone; the server notices by itself.
+	// The caller may have disconnected; the HTTP server detects that itself.
 	_, _ = io.WriteString(x.w, text+"\n")
 }
 
-// finish logs and counts the request, and cuts the connection of an answer that must not look complete.
+// finish logs and counts the request, and aborts the connection when the answer must not look complete.
 func (x *exchange) finish() {
-	took := time.Since(x.begin)
+	took := time.Since(x.start)
 	x.count(took)
-	late := x.route != nil && x.first+x.waited > x.route.Target
-	wanted, leftOut := true, uint64(0)
+	late := x.route != nil && x.firstByte+x.waited > x.route.Target
+	shouldLog, suppressed := true, uint64(0)
 	if x.outcome == "answered" && x.status < http.StatusInternalServerError && !late {
-		wanted, leftOut = x.relay.answered.Allow(time.Now())
+		shouldLog, suppressed = x.relay.answeredLog.Allow(time.Now())
 	}
-	if wanted {
-		x.log(took, late, leftOut)
+	if shouldLog {
+		x.log(took, late, suppressed)
 	}
 	if x.abort {
 		panic(http.ErrAbortHandler)
@@ -362,8 +378,9 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`daisyhatch_relay_request_seconds{outcome=%q}`, x.outcome)).Update(took.Seconds())
 }
 
-// log writes the line of the request: what was decided, by what, and how old that was.
-func (x *exchange) log(took time.Duration, late bool, leftOut uint64) {
+// log writes the request's log line: the outcome, its reason, and the version and age of the state that it was based
+// on.
+func (x *exchange) log(took time.Duration, late bool, suppressed uint64) {
 	route, service, version := "", "", uint64(0)
 	if x.route != nil {
 		route = x.route.Name
@@ -371,18 +388,18 @@
 	if x.service != nil {
 		service = x.service.Name
 	}
-	if x.set != nil {
-		version = x.set.Version
+	if x.catalog != nil {
+		version = x.catalog.Version
 	}
 	k := x.relay.opts.Knowledge
 	fields := []any{
 		"id", x.call.ID, "route", route, "service", service, "organisation", x.organisation, "outcome", x.outcome,
 		"status", x.status, "reason", x.reason, "late", late, "took_ms", took.Milliseconds(), "waited_ms", x.waited.Milliseconds(),
-		"staged_ms", x.staged.Milliseconds(), "chains", x.chains, "failed_stage", x.failedStage, "first_ms", x.first.Milliseconds(), "servers", x.tried,
+		"staged_ms", x.stagesTook.Milliseconds(), "chains", x.stageRuns, "failed_stage", x.failedStage, "first_ms", x.firstByte.Milliseconds(), "servers", x.tried,
 		"version", version, "state", k.Number(), "state_age_ms", k.ContactAge(time.Now()).Milliseconds(),
 	}
-	if leftOut > 0 {
-		fields = append(fields, "lines_left_out", leftOut)
+	if suppressed > 0 {
+		fields = append(fields, "lines_left_out", suppressed)
 	}
 	x.relay.opts.Log.Info("request", fields...)
 }
--- a/pkg/relay/run.go
+++ b/pkg/relay/run.go
@@ -16,140 +16,145 @@
 	"github.com/daisyhatch/daisyhatch/pkg/placement"
 )
 
-// run takes an accepted request to its end.
+// run processes an accepted request: it runs the stages, sends the request, retries where allowed, and answers the
+// caller.
 func (x *exchange) run() {
-	x.service = x.set.Services[x.route.Pick(rand.Float64())]
+	x.service = x.catalog.Services[x.route.Pick(rand.Float64())]
 	if !x.runStages() {
 		return
 	}
-	x.relay.opts.Repeats.Request(x.service.Name, x.begin)
+	x.relay.opts.Repeats.Request(x.service.Name, x.start)
 	sends := 0
 	for {
-		if x.inputs.gone() && !x.runStages() {
+		if x.inputs.isReleased() && !x.runStages() {
 			return
 		}
-		if x.suspected() {
+		if x.refusedAsSuspect() {
 			break
 		}
-		server, ok := x.choose()
+		server, ok := x.chooseServer()
 		if !ok {
-			x.noServer()
+			x.giveUpNoServer()
 			break
 		}
 		sends++
 		res := x.send(server)
-		if x.leftByCaller() {
+		if x.callerLeft() {
 			res.close()
-			x.ended(server, false, false)
+			x.recordEnd(server, false, false)
 			break
 		}
-		s := x.situation(res, sends)
-		switch next(s) {
-		case stepDeliver:
+		s := x.sendState(res, sends)
+		switch nextAction(s) {
+		case actionDeliver:
 			if x.deliver(res, server) {
-				x.inputs.giveUp()
+				x.inputs.release()
 				return
 			}
 			continue
-		case stepRepeat:
+		case actionRetry:
 			res.close()
 			continue
-		case stepRestage:
+		case actionRerunStages:
 			res.close()
-			// One input is gone; the others still take room.
-			x.inputs.giveUp()
+			// At least one input is lost; release the others, which still occupy memory.
+			x.inputs.release()
 			if !x.runStages() {
 				return
 			}
-			// The server whose inputs were gone is as good as before.
+			// The server is healthy and only lacked the inputs, so it may be tried again.
 			x.tried = nil
 			continue
-		case stepRefuse:
+		case actionRefuse:
 			res.close()
-			x.refuse(http.StatusServiceUnavailable, x.serverRetry(), res.reason())
-		case stepFail:
+			x.refuse(http.StatusServiceUnavailable, x.retryAfterNoServer(), res.reason())
+		case actionFail:
 			res.close()
-			x.fail(x.failStatus(), res.reason())
-		case stepCut:
+			x.fail(x.failureStatus(), res.reason())
+		case actionAbort:
 			res.close()
-			x.cut(res.reason())
+			x.abortAnswer(res.reason())
 		}
 		break
 	}
-	x.inputs.giveUp()
+	x.inputs.release()
 }
 
-// leftByCaller reports whether the caller has gone, and notes it.
-func (x *exchange) leftByCaller() bool {
+// callerLeft reports whether the caller has disconnected; if so, it records that as the outcome.
+func (x *exchange) callerLeft() bool {
 	if x.req.Context().Err() == nil {
 		return false
 	}
-	x.outcome, x.reason, x.abort = "left", "the caller has gone", true
+	x.outcome, x.reason, x.abort = "left", "the caller disconnected", true
 	return true
 }
 
-func (x *exchange) failStatus() int {
+func (x *exchange) failureStatus() int {
 	if errors.Is(context.Cause(x.ctx), errDeadline) {
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
 }
 
-// cut ends an answer of which a part was delivered.
-func (x *exchange) cut(reason string) {
+// abortAnswer ends a partly delivered answer by closing the connection, so that it does not look complete.
+func (x *exchange) abortAnswer(reason string) {
 	x.outcome, x.reason, x.abort = "cut", reason, true
 }
 
-func (x *exchange) noServer() { x.giveUp(x.serverRetry(), "no server of the service takes work now") }
+func (x *exchange) giveUpNoServer() {
+	x.giveUp(x.retryAfterNoServer(), "no server of the service takes work now")
+}
 
-// serverRetry is when a caller may come back that found no server: not before the first one takes requests again.
-func (x *exchange) serverRetry() time.Duration {
-	back, _ := x.relay.opts.Knowledge.Back(x.service.Name, time.Now())
-	return max(back, noServerRetry)
+// retryAfterNoServer returns the Retry-After time for a request that found no server: the time until the first server
+// accepts requests again, but at least noServerRetryAfter.
+func (x *exchange) retryAfterNoServer() time.Duration {
+	wait, _ := x.relay.opts.Knowledge.Back(x.service.Name, time.Now())
+	return max(wait, noServerRetryAfter)
 }
 
-// suspected ends a request under which servers ended one after the other; false when it may go on.
-func (x *exchange) suspected() bool {
-	left, refused := x.relay.opts.Suspects.Refused(x.print)
+// refusedAsSuspect reports whether the request is suspected of crashing servers; if so, it ends the request.
+func (x *exchange) refusedAsSuspect() bool {
+	retryAfter, refused := x.relay.opts.Suspects.Refused(x.fingerprint)
 	if refused {
 		metrics.GetOrCreateCounter("daisyhatch_relay_suspects_refused_total").Inc()
-		x.giveUp(left, "servers ended one after the other under this request")
+		x.giveUp(retryAfter, "servers ended one after the other under this request")
 	}
 	return refused
 }
 
-// giveUp ends a request that can't be sent any more; retryAfter is told to a caller whose request has not run.
+// giveUp ends a request that can't be sent again. retryAfter is passed to the caller only if the request has not run.
 func (x *exchange) giveUp(retryAfter time.Duration, reason string) {
 	switch {
-	case x.started:
-		x.cut(reason)
-	case x.ran > 0:
-		x.fail(x.failStatus(), reason)
+	case x.headSent:
+		x.abortAnswer(reason)
+	case x.possibleRuns > 0:
+		x.fail(x.failureStatus(), reason)
 	default:
 		x.refuse(http.StatusServiceUnavailable, retryAfter, reason)
 	}
 }
 
-func (x *exchange) situation(res *sendResult, sends int) situation {
+func (x *exchange) sendState(res *sendResult, sends int) sendState {
 	now := time.Now()
-	others := 0
+	untried := 0
 	for _, c := range x.relay.opts.Knowledge.Serving(x.service.Name, now) {
 		if !slices.Contains(x.tried, c.ID) {
-			others++
+			untried++
 		}
 	}
-	return situation{
-		ending: res.ending, route: x.route, runs: x.ran, sends: sends, delivered: x.started,
-		crashes: x.relay.opts.Suspects.Crashes(x.print), left: x.deadline.Sub(now), others: others, restage: x.mayRunChain(), inputsGone: x.inputs.gone(),
-		allowed: func() bool {
+	return sendState{
+		status: res.status, route: x.route, runs: x.possibleRuns, sends: sends, delivered: x.headSent,
+		crashes: x.relay.opts.Suspects.Crashes(x.fingerprint), remaining: x.deadline.Sub(now), untried: untried,
+		canRerunStages: x.canRerunStages(), inputsReleased: x.inputs.isReleased(),
+		takeRetry: func() bool {
 			return x.relay.opts.Repeats.Allow(x.service.Name, len(x.relay.opts.Knowledge.Entries(now)), now)
 		},
 	}
 }
 
-// choose picks the server of the next send among those that were not tried. Servers that failed lately, or that nobody
-// hears, are used only when there is no other.
-func (x *exchange) choose() (fleet.Candidate, bool) {
+// chooseServer picks the server of the next send among the untried ones; false when there is none. Servers in backoff,
+// and servers that neither the control VMs nor this VM heard from lately, are used only when there is no other.
+func (x *exchange) chooseServer() (fleet.Candidate, bool) {
 	now := time.Now()
 	r := x.relay
 	candidates := slices.DeleteFunc(r.opts.Knowledge.Serving(x.service.Name, now), func(c fleet.Candidate) bool {
@@ -158,7 +163,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	usable := slices.DeleteFunc(slices.Clone(candidates), func(c fleet.Candidate) bool {
-		return !r.health.usable(c.ID, now) || c.Quiet && !r.health.trusted(c.ID, now)
+		return !r.health.usable(c.ID, now) || c.Quiet && !r.health.recentlyAnswered(c.ID, now)
 	})
 	if len(usable) > 0 {
 		candidates = usable
@@ -171,8 +176,9 @@
 	return fleet.Candidate{}, false
 }
 
-// homeDomain returns the failure domain of the server that the request would go to now.
-func (x *exchange) homeDomain() string {
+// preferredServerDomain returns the failure domain of the server that ranks first for the request now; empty without a
+// server.
+func (x *exchange) preferredServerDomain() string {
 	now := time.Now()
 	r := x.relay
 	candidates := r.opts.Knowledge.Serving(x.service.Name, now)
@@ -184,13 +190,13 @@
 	return ""
 }
 
-// coldShare is how many requests this VM may send to a cold server within a second.
+// coldShare returns how many requests this VM may send to a cold server per second: its share of the bound for all VMs.
 func (r *Relay) coldShare(s *catalog.Service, server string, now time.Time) int {
 	bound := s.ColdRate*r.opts.ColdOverrun + r.opts.ColdExtra
 	return allowance.Share(bound, server, fleet.EntryID(r.opts.VM), r.opts.Knowledge.Entries(now))
 }
 
-// rank orders the candidates from best to worst; r.mu is held.
+// rank orders the candidates from best to worst. r.mu must be held.
 func (r *Relay) rank(x *exchange, candidates []fleet.Candidate, now time.Time) []fleet.Candidate {
 	if x.service.Engine == nil {
 		return r.rankPlain(x, candidates, now)
@@ -199,21 +205,22 @@
 	engines := make([]placement.Engine, 0, len(candidates))
 	for _, c := range candidates {
 		byID[c.ID] = c
-		slow := r.health.slowness(x.service.Name, c.ID) + r.health.suspicion(c.ID, now)
+		slow := r.health.slowness(x.service.Name, c.ID) + r.health.failureScore(c.ID, now)
 		engines = append(engines, placement.Engine{ID: c.ID, Domain: c.Domain, Cold: c.Cold, Slowness: slow})
 	}
 	q := placement.Request{Prompt: x.call.Prompt, InputMB: x.inputMB, Domain: r.opts.FailureDomain}
 	out := make([]fleet.Candidate, 0, len(candidates))
-	for _, e := range r.book.Choose(q, engines, x.service.Engine.CacheTokens, now) {
+	for _, e := range r.placements.Choose(q, engines, x.service.Engine.CacheTokens, now) {
 		out = append(out, byID[e.ID])
 	}
 	return out
 }
 
-// remoteCost is what a server of another failure domain costs, in running requests.
+// remoteCost is the ranking penalty of a server in another failure domain, expressed as a number of running requests.
 const remoteCost = 0.7
 
-// rankPlain orders servers of plain services by this VM's running requests, their failures and their speed.
+// rankPlain orders the servers of a service without an engine by the number of requests that this VM runs on them,
+// their failure domain, recent failures and time to first byte.
 func (r *Relay) rankPlain(x *exchange, candidates []fleet.Candidate, now time.Time) []fleet.Candidate {
 	type ranked struct {
 		c    fleet.Candidate
@@ -221,11 +228,11 @@
 	}
 	list := make([]ranked, 0, len(candidates))
 	for _, c := range candidates {
-		cost := float64(r.plain[c.ID]) + rand.Float64()*remoteCost/2
+		cost := float64(r.plainInFlight[c.ID]) + rand.Float64()*remoteCost/2
 		if c.Domain != r.opts.FailureDomain {
 			cost += remoteCost
 		}
-		cost = (1 + cost) * max(1, r.health.slowness(x.service.Name, c.ID)) * (1 + 2*r.health.suspicion(c.ID, now))
+		cost = (1 + cost) * max(1, r.health.slowness(x.service.Name, c.ID)) * (1 + 2*r.health.failureScore(c.ID, now))
 		list = append(list, ranked{c, cost})
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
--- a/pkg/relay/send.go
+++ b/pkg/relay/send.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	// wholeBody is the largest answer that is read to its end before it is delivered, so that one that ends early can be
-	// asked for again.
-	wholeBody = 1 << 20
-	// inputReadTime is when a server has read the inputs of a request that was sent to it.
+	// maxBufferedBody bounds, in bytes, the body of an answer that is not a stream. Such a body is read to its end
+	// before it is delivered, so that the request can be sent again when the body ends early.
+	maxBufferedBody = 1 << 20
+	// inputReadTime is how long after the start of a send the server is taken to have read the request's inputs.
 	inputReadTime = 100 * time.Millisecond
-	// freshFor is how long a connection may have been idle for a request that may not be repeated: a server that closes
-	// it meanwhile leaves open whether the request ran.
-	freshFor = 800 * time.Millisecond
+	// maxIdleNotRepeatable bounds the idle time of a connection that is reused for a request that may not be repeated.
+	// If the server closes an idle connection just then, it is unknown whether the request ran.
+	maxIdleNotRepeatable = 800 * time.Millisecond
 )
 
-// errNotAllowed keeps a request from a server that began to leave meanwhile.
-var errNotAllowed = errors.New("relay: the server takes no new work any more")
+// errServerLeaving stops a send to a server that stopped accepting requests after it was chosen.
+var errServerLeaving = errors.New("relay: the server takes no new work any more")
 
-// errSuspected keeps a request from being sent under which too many servers ended meanwhile.
-var errSuspected = errors.New("relay: servers ended under this request")
+// errRequestSuspect stops a send of a request that became suspected of crashing servers after its server was chosen.
+var errRequestSuspect = errors.New("relay: servers ended under this request")
 
-// sendResult is how a send ended; answer is open when there is one to deliver.
+// sendResult is the result of one send. answer is open when there is one to deliver; body is its body unless it is a
+// stream.
 type sendResult struct {
-	ending ending
+	status sendStatus
 	answer *upstream.Answer
-	whole  []byte
+	body   []byte
 	err    error
-	begun  time.Time
+	start  time.Time
 }
 
 func (s *sendResult) reason() string {
@@ -52,23 +53,23 @@
 
 func (s *sendResult) close() {
 	if s.answer != nil {
-		// Closing returns or drops the connection; an error changes nothing.
+		// Close returns the connection to the pool or drops it; the caller can't act on an error.
 		_ = s.answer.Body.Close()
 	}
 }
 
-// send sends the request to a server and reads the answer's head, and its body unless it is a stream.
+// send sends the request to a server and reads the head of the answer, and the body unless it is a stream.
 func (x *exchange) send(c fleet.Candidate) *sendResult {
 	r := x.relay
 	x.tried = append(x.tried, c.ID)
-	begun := time.Now()
-	x.began(c, begun)
+	start := time.Now()
+	x.recordStart(c, start)
 	call := upstream.Call{
 		Address: c.Address, Method: x.req.Method, Target: x.req.RequestURI, Host: x.req.Host, Body: x.body,
 		HasBody: x.req.ContentLength != 0 || len(x.req.TransferEncoding) > 0,
 		Header: r.opts.Dialect.Outgoing(x.req.Header, dialect.Attempt{
-			Server: c.ID, Remaining: x.deadline.Sub(begun), Organisation: x.organisation, Inputs: x.inputs.list(),
-			ResumeAfter: x.lastEvent, Urgency: urgency(x.priority),
+			Server: c.ID, Remaining: x.deadline.Sub(start), Organisation: x.organisation, Inputs: x.inputs.list(),
+			ResumeAfter: x.lastEventID, Urgency: enginePriority(x.priority),
 		}),
 		Owns: func(h http.Header) bool {
 			id := r.opts.Dialect.Answer(0, h).CallID
@@ -76,187 +77,192 @@
 		},
 		OnSend: func() error {
 			if !r.opts.Knowledge.Allowed(c.ID) {
-				return errNotAllowed
+				return errServerLeaving
 			}
-			if _, refused := r.opts.Suspects.Refused(x.print); refused {
-				return errSuspected
+			if _, refused := r.opts.Suspects.Refused(x.fingerprint); refused {
+				return errRequestSuspect
 			}
 			return nil
 		},
 	}
 	if !x.route.Repeatable() {
-		call.MaxIdle = freshFor
+		call.MaxIdle = maxIdleNotRepeatable
 	}
-	reading := time.AfterFunc(inputReadTime, x.inputs.giveUp)
+	releaseTimer := time.AfterFunc(inputReadTime, x.inputs.release)
 	a, err := r.opts.Pool.Do(x.ctx, call)
-	reading.Stop()
-	res := &sendResult{begun: begun, err: err}
+	releaseTimer.Stop()
+	res := &sendResult{start: start, err: err}
 	if err != nil {
-		x.sendFailed(res, c)
+		x.handleSendError(res, c)
 		return res
 	}
 	res.answer = a
-	x.classify(res, c)
+	x.classifyAnswer(res, c)
 	return res
 }
 
-// urgency is what engines are told: their default is 5, and one step is left on each side for later needs.
-func urgency(p catalog.Priority) int { return min(max(int(p), 0)+3, 8) }
+// enginePriority maps a request's priority to the value sent to engines, in 3 to 8. The engines' default is 5; values
+// outside this range are left for later use.
+func enginePriority(p catalog.Priority) int { return min(max(int(p), 0)+3, 8) }
 
-func (x *exchange) sendFailed(res *sendResult, c fleet.Candidate) {
+// handleSendError sets the status of a send that got no answer.
+func (x *exchange) handleSendError(res *sendResult, c fleet.Candidate) {
 	var e *upstream.Error
-	res.ending = endedUnknown
+	res.status = sendOutcomeUnknown
 	if errors.As(res.err, &e) && !e.Sent {
-		res.ending = endedUnsent
+		res.status = sendNotSent
 	} else {
-		x.ran++
+		x.possibleRuns++
 	}
-	own := errors.Is(res.err, errNotAllowed) || errors.Is(res.err, errSuspected) || x.req.Context().Err() != nil
-	if res.ending == endedUnknown && !own {
-		x.unanswered(c, res)
+	notServerFault := errors.Is(res.err, errServerLeaving) || errors.Is(res.err, errRequestSuspect) || x.req.Context().Err() != nil
+	if res.status == sendOutcomeUnknown && !notServerFault {
+		x.logUnanswered(c, res)
 	}
-	x.ended(c, !own, res.ending == endedUnknown)
+	x.recordEnd(c, !notServerFault, res.status == sendOutcomeUnknown)
 }
 
-// classify reads what the answer says.
-func (x *exchange) classify(res *sendResult, c fleet.Candidate) {
+// classifyAnswer sets the status of a send from the server's answer. It reads the body unless the answer is a stream.
+func (x *exchange) classifyAnswer(res *sendResult, c fleet.Candidate) {
 	a := res.answer
-	said := x.relay.opts.Dialect.Answer(a.Status, a.Header)
-	x.noticed(c, said.Notice)
-	if said.NotRun || said.Misdirected {
-		res.ending = endedNotRun
+	parsed := x.relay.opts.Dialect.Answer(a.Status, a.Header)
+	x.recordNotice(c, parsed.Notice)
+	if parsed.NotRun || parsed.Misdirected {
+		res.status = sendNotRun
 		if a.Status == http.StatusConflict {
-			res.ending = endedGone
+			res.status = sendInputsGone
 		}
 		res.err = errors.New("the server did not run the request: status " + strconv.Itoa(a.Status))
-		// The body says nothing more; reading it keeps the connection.
-		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, wholeBody))
-		x.ended(c, said.Misdirected, false)
+		// The body is not needed; it is read so that the connection can be reused.
+		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedBody))
+		x.recordEnd(c, parsed.Misdirected, false)
 		return
 	}
-	x.ran++
+	x.possibleRuns++
 	success := a.Status >= 200 && a.Status < 300
 	switch {
-	case said.Encoded, success && !said.Signed:
-		res.ending, res.err = endedUnknown, errors.New("the answer is not the server's own")
-		x.ended(c, true, true)
+	case parsed.Encoded, success && !parsed.Signed:
+		res.status, res.err = sendOutcomeUnknown, errors.New("the answer is not the server's own")
+		x.recordEnd(c, true, true)
 		return
 	case x.route.Kind == catalog.Stream && success:
-		res.ending = endedWell
+		res.status = sendAnswered
 		return
 	}
-	whole, err := io.ReadAll(io.LimitReader(a.Body, wholeBody+1))
-	if err != nil || len(whole) > wholeBody {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedBody+1))
+	if err != nil || len(body) > maxBufferedBody {
 		if err == nil {
 			err = errors.New("the answer is too large")
 		}
-		res.ending, res.err = endedUnknown, err
-		x.unanswered(c, res)
-		x.ended(c, true, true)
+		res.status, res.err = sendOutcomeUnknown, err
+		x.logUnanswered(c, res)
+		x.recordEnd(c, true, true)
 		return
 	}
-	res.whole = whole
-	x.first = time.Since(x.begin)
-	x.answered(c, time.Since(res.begun))
-	x.ended(c, false, false)
-	res.ending = endedWell
+	res.body = body
+	x.firstByte = time.Since(x.start)
+	x.recordAnswer(c, time.Since(res.start))
+	x.recordEnd(c, false, false)
+	res.status = sendAnswered
 	if a.Status >= http.StatusInternalServerError {
-		res.ending = endedFailed
+		res.status = sendServerFailed
 		res.err = errors.New("the server failed: status " + strconv.Itoa(a.Status))
 		return
 	}
 	if a.Delimited {
-		x.relay.opts.Suspects.Served(x.print)
+		x.relay.opts.Suspects.Served(x.fingerprint)
 	}
 }
 
-// noticed takes over what a server said of itself in an answer.
-func (x *exchange) noticed(c fleet.Candidate, n holdoff.Notice) {
+// recordNotice records what the server reported about itself in an answer: that it is leaving, or wants no calls for
+// some time.
+func (x *exchange) recordNotice(c fleet.Candidate, n holdoff.Notice) {
 	if x.relay.opts.Knowledge.Noticed(c.Server, n, time.Now()) {
 		x.relay.opts.Log.Info("server wants no more calls", "request", x.call.ID, "service", x.service.Name, "server", c.ID,
 			"incarnation", c.Incarnation(), "leaving", n.Leaving, "wait_ms", n.Wait.Milliseconds())
 	}
 }
 
-// began, answered and ended keep the books on a server.
-func (x *exchange) began(c fleet.Candidate, now time.Time) {
+// recordStart counts a new send against the server. recordAnswer and recordEnd complete the record.
+func (x *exchange) recordStart(c fleet.Candidate, now time.Time) {
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	x.onServer = true
-	x.flight = r.opts.Suspects.Begin(liveness.Target(c.Server), x.print)
+	x.inFlight = true
+	x.serverRun = r.opts.Suspects.Begin(liveness.Target(c.Server), x.fingerprint)
 	if x.service.Engine != nil {
-		x.sent = r.book.Send(x.call.Prompt, c.ID, now)
+		x.placed = r.placements.Send(x.call.Prompt, c.ID, now)
 	} else {
-		r.plain[c.ID]++
+		r.plainInFlight[c.ID]++
 	}
 }
 
-func (x *exchange) answered(c fleet.Candidate, first time.Duration) {
+func (x *exchange) recordAnswer(c fleet.Candidate, first time.Duration) {
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.health.answered(x.service.Name, c.ID, first, time.Now())
-	if x.sent != nil {
-		r.book.Started(x.sent)
+	r.health.recordAnswer(x.service.Name, c.ID, first, time.Now())
+	if x.placed != nil {
+		r.placements.Started(x.placed)
 	}
 }
 
-// ended may be called again for one send; only the first call counts.
-func (x *exchange) ended(c fleet.Candidate, failed, lost bool) {
+// recordEnd ends the record of a send. Calls after the first for one send do nothing. failed counts against the
+// server's health; lost is true when the request may have run without a complete answer.
+func (x *exchange) recordEnd(c fleet.Candidate, failed, lost bool) {
 	r := x.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !x.onServer {
+	if !x.inFlight {
 		return
 	}
-	x.onServer = false
-	x.flight.End()
+	x.inFlight = false
+	x.serverRun.End()
 	if failed {
-		r.health.failed(c.ID, time.Now())
+		r.health.recordFailure(c.ID, time.Now())
 	}
-	if x.sent != nil {
-		r.book.Ended(x.sent, lost)
-		x.sent = nil
-	} else if r.plain[c.ID]--; r.plain[c.ID] <= 0 {
-		delete(r.plain, c.ID)
+	if x.placed != nil {
+		r.placements.Ended(x.placed, lost)
+		x.placed = nil
+	} else if r.plainInFlight[c.ID]--; r.plainInFlight[c.ID] <= 0 {
+		delete(r.plainInFlight, c.ID)
 	}
 }
 
-// deliver hands an answer to the caller. It returns false when a stream broke off and the request may be sent again.
+// deliver passes an answer to the caller. It returns false when a stream broke off and the request is to be sent again.
 func (x *exchange) deliver(res *sendResult, c fleet.Candidate) bool {
-	if res.whole == nil && x.route.Kind == catalog.Stream && res.ending == endedWell {
+	if res.body == nil && x.route.Kind == catalog.Stream && res.status == sendAnswered {
 		return x.deliverStream(res, c)
 	}
 	x.outcome, x.status = "answered", res.answer.Status
 	copyHeader(x.w.Header(), res.answer.Header)
-	x.w.Header().Set("Content-Length", strconv.Itoa(len(res.whole)))
+	x.w.Header().Set("Content-Length", strconv.Itoa(len(res.body)))
 	x.w.WriteHeader(res.answer.Status)
-	_, err := x.w.Write(res.whole)
+	_, err := x.w.Write(res.body)
 	res.close()
 	if err != nil {
-		x.outcome, x.reason = "left", "the caller took no answer: "+err.Error()
+		x.outcome, x.reason = "left", "writing the answer to the caller failed: "+err.Error()
 	}
 	return true
 }
 
-// hopByHop are the headers that concern one connection only.
-var hopByHop = map[string]bool{
+// hopByHopHeaders are headers that apply to a single connection and are not forwarded. Content-Length is among them
+// because it is set anew.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
 func copyHeader(to, from http.Header) {
-	listed := connectionNames(from)
+	listed := connectionHeaders(from)
 	for name, values := range from {
-		if !hopByHop[name] && !listed[name] {
+		if !hopByHopHeaders[name] && !listed[name] {
 			to[name] = values
 		}
 	}
 }
 
-// connectionNames returns the headers that a Connection header lists.
-func connectionNames(h http.Header) map[string]bool {
+// connectionHeaders returns the canonical names of the headers that the Connection header lists.
+func connectionHeaders(h http.Header) map[string]bool {
 	out := make(map[string]bool)
 	for _, v := range h.Values("Connection") {
 		for name := range strings.SplitSeq(v, ",") {
@@ -266,14 +272,14 @@
 	return out
 }
 
-// EndToEnd returns a copy of a caller's header without what concerns only its connection.
+// EndToEnd returns a copy of a header without the hop-by-hop headers and those that its Connection header lists.
 func EndToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h)+8)
 	copyHeader(out, h)
 	return out
 }
 
-// eventID returns the id of an event, given as its lines.
+// eventID returns the id field of a server-sent event; empty when it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/pkg/relay/stages.go
+++ b/pkg/relay/stages.go
@@ -8,96 +8,103 @@
 	"time"
 )
 
-// Stages runs stage work for this VM.
+// Stages runs the stages of requests. It is safe for concurrent use.
 type Stages interface {
-	// Run runs the pieces of one stage. Errors: *StageRefused, or any other when they could not be made.
+	// Run runs the pieces of one stage and returns one result per piece. It returns *StageRefused when the stage can't
+	// be done in time, and other errors when the pieces failed.
 	Run(ctx context.Context, q StageRequest) ([]StageResult, error)
-	// Free gives results up; it doesn't wait.
+	// Free releases results on the servers that hold them. It doesn't block.
 	Free(handles []string)
 }
 
 // StageRequest is one stage of one request.
 type StageRequest struct {
 	Request string
-	// Fingerprint names the request by its content.
+	// Fingerprint is the hash that identifies the request by its content.
 	Fingerprint uint64
 	Service     string
 	Stage       int
-	Key         string
-	Count       int
-	Inputs      []string
-	Deadline    time.Time
-	// Target is until when the results are worth most.
+	// Key is the caller's key for the pieces of its request; see dialect.Call.
+	Key string
+	// Count is the number of pieces.
+	Count int
+	// Inputs are the handles of the results that the stage reads.
+	Inputs   []string
+	Deadline time.Time
+	// Target is the time until which the results have their full value; Deadline is when they are too late.
 	Target      time.Time
 	Priority    int
 	ResultBytes int
-	// Domain is where the results are wanted.
+	// Domain is the preferred failure domain for the results; empty for none.
 	Domain string
-	// CrossingBytes is about what crosses failure domains when the pieces are made elsewhere.
+	// CrossingBytes is about how many bytes cross failure domains when the stage runs outside Domain.
 	CrossingBytes int
-	// ReleaseInputs is true when nothing else needs Inputs: they are given up once they were read, unless Run fails.
+	// ReleaseInputs is true when nothing else needs Inputs. They are then released once they were read, unless Run
+	// fails.
 	ReleaseInputs bool
-	// InputsRead, unless nil, is called at most once before the results come, when nothing reads Inputs any more unless a
-	// call fails.
+	// InputsRead, if not nil, is called at most once, before the results are returned, as soon as Inputs are no longer
+	// needed unless a call fails.
 	InputsRead func()
 }
 
-// StageResult is one piece's result.
+// StageResult is the result of one piece. Domain is the failure domain of the server that holds it.
 type StageResult struct {
+	// Handle identifies the result on the server that holds it.
 	Handle string
 	Domain string
 }
 
-// StageRefused means that a stage can't be done in time; the request has not run.
+// StageRefused is the error for a stage that can't be done in time. The request itself has not run.
 type StageRefused struct {
-	// RetryAfter is when there is room.
+	// RetryAfter is the time until there is expected to be capacity.
 	RetryAfter time.Duration
 	Reason     string
-	// Lost is true when a piece could not be made or its inputs are gone: running the stages anew may help.
+	// Lost is true when a piece failed or its inputs are lost. Running the stages again may help.
 	Lost bool
 }
 
 // Error implements error.
 func (e *StageRefused) Error() string { return "relay: stage refused: " + e.Reason }
 
-// engineTime is what the plan of a chain leaves for the engine: the 95th percentile up to the first event.
-const engineTime = 400 * time.Millisecond
+// engineFirstEventP95 is the time that stage deadlines leave for the engine: the 95th percentile of its time to the
+// first event.
+const engineFirstEventP95 = 400 * time.Millisecond
 
-// leastRetry is the shortest time after which a refused caller may come back.
-const leastRetry = 200 * time.Millisecond
+// minRetryAfter is the shortest Retry-After time for a request whose stages were refused.
+const minRetryAfter = 200 * time.Millisecond
 
-// stageEnd is how a stage ended, or the news that it has read its inputs.
-type stageEnd struct {
+// stageEvent reports that a stage ended, or, with inputsRead, that it has read its inputs.
+type stageEvent struct {
 	stage      int
 	inputsRead bool
 	results    []StageResult
 	err        error
 }
 
-// maxChains is how often the stages of one request are run: results are lost with their server, which is seldom lost
-// twice within a request's time.
-const maxChains = 2
+// maxStageRuns bounds how often the stages of one request run. Results are lost when their server is lost, which rarely
+// happens twice during one request.
+const maxStageRuns = 2
 
-// runStages runs all stages of the request, and once more when results were lost and there is time. It answers the request
-// when that fails; false then.
+// runStages runs all stages of the request, and once more when results were lost and there is time. If that fails, it
+// answers the request and returns false.
 func (x *exchange) runStages() bool {
 	if len(x.route.Stages) == 0 {
 		return true
 	}
-	x.home = x.homeDomain()
+	x.engineDomain = x.preferredServerDomain()
 	for {
-		if x.suspected() {
+		if x.refusedAsSuspect() {
 			return false
 		}
-		x.chains++
+		x.stageRuns++
 		x.failedStage = ""
-		err := x.runChain()
-		x.staged = time.Since(x.begin)
+		err := x.runStagesOnce()
+		x.stagesTook = time.Since(x.start)
 		var refused *StageRefused
 		switch {
 		case err == nil:
 			return true
-		case errors.As(err, &refused) && refused.Lost && x.mayRunChain():
+		case errors.As(err, &refused) && refused.Lost && x.canRerunStages():
 			continue
 		}
 		x.stagesFailed(err)
@@ -105,101 +112,103 @@
 	}
 }
 
-// mayRunChain reports whether there is time to run the stages anew.
-func (x *exchange) mayRunChain() bool {
+// canRerunStages reports whether the stages may run again and there is time for it.
+func (x *exchange) canRerunStages() bool {
 	longest := time.Duration(0)
 	for i, st := range x.route.Stages {
 		if len(st.After) == 0 {
-			b := x.set.Services[st.Service].Batch
-			longest = max(longest, b.CallTime(pieces(x.call.Pieces, i))+x.timeBehind(i))
+			b := x.catalog.Services[st.Service].Batch
+			longest = max(longest, b.CallTime(pieceCount(x.call.Pieces, i))+x.minTimeAfter(i))
 		}
 	}
-	return x.chains < maxChains && x.ctx.Err() == nil && time.Until(x.deadline) > longest
+	return x.stageRuns < maxStageRuns && x.ctx.Err() == nil && time.Until(x.deadline) > longest
 }
 
-// runChain runs each stage as soon as those that it needs are done.
-func (x *exchange) runChain() error {
+// runStagesOnce starts each stage as soon as the stages that it depends on are done, and waits for all of them. On an
+// error it frees all results.
+func (x *exchange) runStagesOnce() error {
 	stages := x.route.Stages
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
-	// Each stage sends at most two messages.
-	ends := make(chan stageEnd, 2*len(stages))
-	done := make([][]StageResult, len(stages))
-	begun := make([]bool, len(stages))
+	// Buffered so that stages never block: each one sends at most two events.
+	events := make(chan stageEvent, 2*len(stages))
+	results := make([][]StageResult, len(stages))
+	started := make([]bool, len(stages))
 	finished, read := make([]bool, len(stages)), make([]bool, len(stages))
 	running := 0
-	x.expires = make([]time.Time, len(stages))
+	x.resultExpiry = make([]time.Time, len(stages))
 	var failed error
 	for {
 		if failed == nil {
-			running += x.beginStages(ctx, begun, finished, done, ends)
+			running += x.startReadyStages(ctx, started, finished, results, events)
 		}
 		if running == 0 {
 			break
 		}
-		e := <-ends
+		e := <-events
 		read[e.stage] = true
 		if e.inputsRead {
-			x.freeUsed(read, done)
+			x.freeConsumed(read, results)
 			continue
 		}
 		running--
 		finished[e.stage] = true
-		done[e.stage] = e.results
-		if e.err == nil && x.ownsInputs(e.stage) {
+		results[e.stage] = e.results
+		if e.err == nil && x.isSoleConsumer(e.stage) {
 			for _, a := range stages[e.stage].After {
-				done[a] = nil
+				results[a] = nil
 			}
 		}
-		ttl := x.set.Services[x.route.Stages[e.stage].Service].Batch.ResultTTL
-		x.expires[e.stage] = time.Now().Add(ttl - expiryMargin)
+		ttl := x.catalog.Services[x.route.Stages[e.stage].Service].Batch.ResultTTL
+		x.resultExpiry[e.stage] = time.Now().Add(ttl - expiryMargin)
 		if e.err != nil && failed == nil {
 			failed = e.err
 			x.failedStage = stages[e.stage].Service
 			cancel()
 		}
-		x.freeUsed(read, done)
+		x.freeConsumed(read, results)
 	}
 	if failed != nil {
-		for _, d := range done {
+		for _, d := range results {
 			x.relay.opts.Stages.Free(handles(d))
 		}
 		return failed
 	}
-	x.collectInputs(done)
+	x.collectInputs(results)
 	return nil
 }
 
-// beginStages starts what can be started and returns how many.
-func (x *exchange) beginStages(ctx context.Context, begun, finished []bool, done [][]StageResult, ends chan<- stageEnd) int {
+// startReadyStages starts the stages whose dependencies are done and returns how many it started. Stages without pieces
+// count as done at once.
+func (x *exchange) startReadyStages(ctx context.Context, started, finished []bool, results [][]StageResult, events chan<- stageEvent) int {
 	n := 0
 	for i, st := range x.route.Stages {
-		if begun[i] || !allDone(st.After, finished) {
+		if started[i] || !allDone(st.After, finished) {
 			continue
 		}
-		begun[i] = true
+		started[i] = true
 		count := 0
 		if i < len(x.call.Pieces) {
 			count = x.call.Pieces[i]
 		}
 		if count == 0 {
 			finished[i] = true
-			return n + x.beginStages(ctx, begun, finished, done, ends)
+			return n + x.startReadyStages(ctx, started, finished, results, events)
 		}
-		q := x.stageRequest(i, count, done)
+		q := x.stageRequest(i, count, results)
 		for _, a := range st.After {
-			q.Inputs = append(q.Inputs, handles(done[a])...)
-			q.Deadline = earlier(q.Deadline, x.expires[a])
+			q.Inputs = append(q.Inputs, handles(results[a])...)
+			q.Deadline = earlierNonZero(q.Deadline, x.resultExpiry[a])
 		}
-		if x.ownsInputs(i) {
+		if x.isSoleConsumer(i) {
 			q.ReleaseInputs = true
 		} else {
-			q.InputsRead = func() { ends <- stageEnd{stage: i, inputsRead: true} }
+			q.InputsRead = func() { events <- stageEvent{stage: i, inputsRead: true} }
 		}
 		n++
 		go func() {
 			results, err := x.relay.opts.Stages.Run(ctx, q)
-			ends <- stageEnd{stage: i, results: results, err: err}
+			events <- stageEvent{stage: i, results: results, err: err}
 		}()
 	}
 	return n
@@ -214,72 +223,72 @@
 	return true
 }
 
-func (x *exchange) stageRequest(i, count int, done [][]StageResult) StageRequest {
-	rest := x.timeBehind(i)
+func (x *exchange) stageRequest(i, count int, results [][]StageResult) StageRequest {
+	rest := x.minTimeAfter(i)
 	q := StageRequest{
-		Request: x.call.ID, Fingerprint: x.print, Service: x.route.Stages[i].Service, Stage: i, Key: x.call.PieceKey, Count: count,
-		Deadline: x.deadline.Add(-rest), Target: x.target().Add(-rest), Priority: int(x.priority),
-		ResultBytes: x.route.Stages[i].ResultBytes, Domain: x.wantedIn(i, done),
-		CrossingBytes: x.crossing(i, count, done),
+		Request: x.call.ID, Fingerprint: x.fingerprint, Service: x.route.Stages[i].Service, Stage: i, Key: x.call.PieceKey, Count: count,
+		Deadline: x.deadline.Add(-rest), Target: x.targetTime().Add(-rest), Priority: int(x.priority),
+		ResultBytes: x.route.Stages[i].ResultBytes, Domain: x.preferredDomain(i, results),
+		CrossingBytes: x.crossDomainBytes(i, count, results),
 	}
 	return q
 }
 
-// crossing is about what crosses failure domains when a stage is made elsewhere than it is wanted: the results that the
-// engine reads, or the inputs, which every piece reads for itself.
-func (x *exchange) crossing(i, count int, done [][]StageResult) int {
+// crossDomainBytes returns about how many bytes cross failure domains when a stage runs outside its preferred one: the
+// results that the engine reads, or the inputs, which each piece reads separately.
+func (x *exchange) crossDomainBytes(i, count int, results [][]StageResult) int {
 	bytes := 0
 	if x.isLeaf(i) {
 		bytes = count * x.route.Stages[i].ResultBytes
 	}
 	for _, a := range x.route.Stages[i].After {
-		bytes = max(bytes, count*len(done[a])*x.route.Stages[a].ResultBytes)
+		bytes = max(bytes, count*len(results[a])*x.route.Stages[a].ResultBytes)
 	}
 	return bytes
 }
 
-// wantedIn returns the failure domain where a stage should run: where its inputs lie when they are larger than its
-// results, the engine's for results that the request itself needs.
-func (x *exchange) wantedIn(i int, done [][]StageResult) string {
+// preferredDomain returns the failure domain where a stage should run; empty for any. It is the domain of the inputs
+// when they are larger than the results, otherwise the engine's domain if the request itself reads the results.
+func (x *exchange) preferredDomain(i int, results [][]StageResult) string {
 	leaf := x.isLeaf(i)
 	for _, a := range x.route.Stages[i].After {
-		for _, r := range done[a] {
-			if !leaf || len(done[a])*x.route.Stages[a].ResultBytes > x.route.Stages[i].ResultBytes {
+		for _, r := range results[a] {
+			if !leaf || len(results[a])*x.route.Stages[a].ResultBytes > x.route.Stages[i].ResultBytes {
 				return r.Domain
 			}
 		}
 	}
 	if leaf {
-		return x.home
+		return x.engineDomain
 	}
 	return ""
 }
 
-// timeBehind is what the chain behind a stage takes at least: the longest way through the stages that need it, and the
-// engine.
-func (x *exchange) timeBehind(stage int) time.Duration {
+// minTimeAfter returns the minimum time needed after a stage: the longest path through the stages that depend on it,
+// plus the time for the engine.
+func (x *exchange) minTimeAfter(stage int) time.Duration {
 	longest := time.Duration(0)
 	for i, st := range x.route.Stages {
 		for _, a := range st.After {
 			if a != stage {
 				continue
 			}
-			b := x.set.Services[st.Service].Batch
-			longest = max(longest, b.CallTime(pieces(x.call.Pieces, i))+x.timeBehind(i)-engineTime)
+			b := x.catalog.Services[st.Service].Batch
+			longest = max(longest, b.CallTime(pieceCount(x.call.Pieces, i))+x.minTimeAfter(i)-engineFirstEventP95)
 		}
 	}
-	return longest + engineTime
+	return longest + engineFirstEventP95
 }
 
-func pieces(counts []int, i int) int {
+func pieceCount(counts []int, i int) int {
 	if i < len(counts) {
 		return counts[i]
 	}
 	return 0
 }
 
-// users returns how many stages need the results of stage i.
-func (x *exchange) users(i int) int {
+// consumers returns how many stages need the results of stage i.
+func (x *exchange) consumers(i int) int {
 	n := 0
 	for _, st := range x.route.Stages {
 		if slices.Contains(st.After, i) {
@@ -289,51 +298,51 @@
 	return n
 }
 
-// ownsInputs reports whether stage i needs the results of others and no other stage needs the same.
-func (x *exchange) ownsInputs(i int) bool {
+// isSoleConsumer reports whether stage i has inputs from other stages and is the only stage that needs them.
+func (x *exchange) isSoleConsumer(i int) bool {
 	for _, a := range x.route.Stages[i].After {
-		if x.users(a) > 1 {
+		if x.consumers(a) > 1 {
 			return false
 		}
 	}
 	return len(x.route.Stages[i].After) > 0
 }
 
-// earlier returns the earlier of two times; a zero one doesn't count.
-func earlier(a, b time.Time) time.Time {
+// earlierNonZero returns the earlier of two times, or a when b is zero.
+func earlierNonZero(a, b time.Time) time.Time {
 	if b.IsZero() || a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// expiryMargin is how long before its results expire a stage's successor must be begun: the way there and back, and the
-// time since the call that made them ended.
+// expiryMargin is how long before its inputs expire a stage must have started. It covers the network round trip and the
+// time since the call that made the inputs ended.
 const expiryMargin = 200 * time.Millisecond
 
-// freeUsed gives up the results of stages that every stage behind them has read; those that the request itself needs
-// stay.
-func (x *exchange) freeUsed(read []bool, done [][]StageResult) {
-	for i := range done {
-		needed := len(done[i]) == 0 || x.isLeaf(i)
+// freeConsumed frees the results that all dependent stages have read. Results that the request itself reads stay.
+func (x *exchange) freeConsumed(read []bool, results [][]StageResult) {
+	for i := range results {
+		needed := len(results[i]) == 0 || x.isLeaf(i)
 		for k, st := range x.route.Stages {
 			for _, a := range st.After {
-				needed = needed || a == i && !read[k] && pieces(x.call.Pieces, k) > 0
+				needed = needed || a == i && !read[k] && pieceCount(x.call.Pieces, k) > 0
 			}
 		}
 		if !needed {
-			x.relay.opts.Stages.Free(handles(done[i]))
-			done[i] = nil
+			x.relay.opts.Stages.Free(handles(results[i]))
+			results[i] = nil
 		}
 	}
 }
 
-// isLeaf reports whether no stage needs the results of stage i.
-func (x *exchange) isLeaf(i int) bool { return x.users(i) == 0 }
+// isLeaf reports whether no stage depends on stage i, so that the request itself reads its results.
+func (x *exchange) isLeaf(i int) bool { return x.consumers(i) == 0 }
 
-func (x *exchange) collectInputs(done [][]StageResult) {
+// collectInputs makes the results of the last stages the inputs of the request.
+func (x *exchange) collectInputs(results [][]StageResult) {
 	x.inputs, x.inputMB = &stageInputs{free: x.relay.opts.Stages.Free}, make(map[string]float64)
-	for i, d := range done {
+	for i, d := range results {
 		if !x.isLeaf(i) {
 			continue
 		}
@@ -344,6 +353,7 @@
 	}
 }
 
+// handles returns the handles of results, without empty ones.
 func handles(results []StageResult) []string {
 	out := make([]string, 0, len(results))
 	for _, r := range results {
@@ -354,24 +364,24 @@
 	return out
 }
 
-// stagesFailed answers a request whose stages were not done. The request itself has not run, unless its stages were run
-// anew after a send that may have.
+// stagesFailed answers a request whose stages failed. The request itself has not run, unless its stages ran again after
+// a send that may have run it.
 func (x *exchange) stagesFailed(err error) {
-	if x.leftByCaller() {
+	if x.callerLeft() {
 		return
 	}
-	if x.started {
-		x.cut("the stages could not be run again: " + err.Error())
+	if x.headSent {
+		x.abortAnswer("the stages could not be run again: " + err.Error())
 		return
 	}
-	if x.ran > 0 {
-		x.fail(x.failStatus(), "the stages could not be run again: "+err.Error())
+	if x.possibleRuns > 0 {
+		x.fail(x.failureStatus(), "the stages could not be run again: "+err.Error())
 		return
 	}
 	var refused *StageRefused
 	if errors.As(err, &refused) {
-		x.refuse(http.StatusServiceUnavailable, max(refused.RetryAfter, leastRetry), refused.Error())
+		x.refuse(http.StatusServiceUnavailable, max(refused.RetryAfter, minRetryAfter), refused.Error())
 		return
 	}
-	x.refuse(http.StatusServiceUnavailable, noServerRetry, "a stage failed: "+err.Error())
+	x.refuse(http.StatusServiceUnavailable, noServerRetryAfter, "a stage failed: "+err.Error())
 }
--- a/pkg/relay/stream.go
+++ b/pkg/relay/stream.go
@@ -12,62 +12,63 @@
 )
 
 const (
-	// maxEvent bounds one event of a stream in bytes.
-	maxEvent = 1 << 20
-	// streamBuffer is the size of the buffer behind a stream.
-	streamBuffer = 4 << 10
+	// maxEventBytes bounds one event of a stream.
+	maxEventBytes = 1 << 20
+	// streamBufferBytes is the size of the read buffer of a stream.
+	streamBufferBytes = 4 << 10
 )
 
-// errEvent means that a stream holds what is no event.
-var errEvent = errors.New("relay: the stream holds no proper event")
+// errEventTooLarge means that a stream holds an event longer than maxEventBytes.
+var errEventTooLarge = errors.New("relay: the stream holds no proper event")
 
-// deliverStream forwards events as they come, whole ones only, so that a stream that breaks off can go on at another
-// server behind the last one. It returns false when the request is to be sent again.
+// deliverStream forwards the events of a stream as they arrive. It forwards only complete events, so that another
+// server can continue a broken stream after the last event delivered. It returns false when the request is to be sent
+// again.
 func (x *exchange) deliverStream(res *sendResult, c fleet.Candidate) bool {
-	events := bufio.NewReaderSize(res.answer.Body, streamBuffer)
+	events := bufio.NewReaderSize(res.answer.Body, streamBufferBytes)
 	flusher := http.NewResponseController(x.w)
-	firstHere := true
+	firstEvent := true
 	for {
 		event, err := readEvent(events)
 		if len(event) > 0 {
-			if firstHere {
-				firstHere = false
-				x.answered(c, time.Since(res.begun))
-				x.inputs.giveUp()
+			if firstEvent {
+				firstEvent = false
+				x.recordAnswer(c, time.Since(res.start))
+				x.inputs.release()
 			}
-			if werr := x.forward(res, event, !holdsEvent(events), flusher); werr != nil {
+			if werr := x.writeEvent(res, event, !eventBuffered(events), flusher); werr != nil {
 				res.close()
-				x.ended(c, false, false)
-				x.outcome, x.reason, x.abort = "left", "the caller takes no more: "+werr.Error(), true
+				x.recordEnd(c, false, false)
+				x.outcome, x.reason, x.abort = "left", "writing the stream to the caller failed: "+werr.Error(), true
 				return true
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			res.close()
-			x.ended(c, false, false)
+			x.recordEnd(c, false, false)
 			if res.answer.Delimited {
-				x.relay.opts.Suspects.Served(x.print)
+				x.relay.opts.Suspects.Served(x.fingerprint)
 			}
 			x.endStream(res)
 			return true
 		}
 		if err != nil {
-			return x.broken(res, c, err)
+			return x.handleBrokenStream(res, c, err)
 		}
 	}
 }
 
-// forward writes one event; the head goes before the first one.
-func (x *exchange) forward(res *sendResult, event []byte, flush bool, flusher *http.ResponseController) error {
-	if !x.started {
-		x.startStream(res)
-		x.first = time.Since(x.begin)
+// writeEvent writes one event, preceded by the answer's head if that was not written yet.
+func (x *exchange) writeEvent(res *sendResult, event []byte, flush bool, flusher *http.ResponseController) error {
+	if !x.headSent {
+		x.writeHead(res)
+		x.firstByte = time.Since(x.start)
 	}
 	if _, err := x.w.Write(event); err != nil {
 		return err
 	}
 	if id := eventID(event); id != "" {
-		x.lastEvent = id
+		x.lastEventID = id
 	}
 	if flush {
 		return flusher.Flush()
@@ -75,61 +76,62 @@
 	return nil
 }
 
-func (x *exchange) startStream(res *sendResult) {
-	x.started = true
+func (x *exchange) writeHead(res *sendResult) {
+	x.headSent = true
 	x.outcome, x.status = "answered", res.answer.Status
 	copyHeader(x.w.Header(), res.answer.Header)
 	x.w.WriteHeader(res.answer.Status)
 }
 
-// endStream ends an answer that the server completed; one without any event is delivered as it is.
+// endStream ends a stream that the server completed. A stream without events still needs its head written.
 func (x *exchange) endStream(res *sendResult) {
-	if !x.started {
-		x.startStream(res)
+	if !x.headSent {
+		x.writeHead(res)
 	}
 }
 
-// broken decides what follows a stream that broke off. It returns true when the exchange is over.
-func (x *exchange) broken(res *sendResult, c fleet.Candidate, err error) bool {
+// handleBrokenStream decides what follows a stream that broke off. It returns true when the exchange is over, false
+// when the request is to be sent again.
+func (x *exchange) handleBrokenStream(res *sendResult, c fleet.Candidate, err error) bool {
 	res.close()
-	if x.leftByCaller() {
-		x.ended(c, false, false)
+	if x.callerLeft() {
+		x.recordEnd(c, false, false)
 		return true
 	}
 	timeUp := x.ctx.Err() != nil
-	res.ending, res.err = endedUnknown, err
-	x.unanswered(c, res)
-	x.ended(c, !timeUp, true)
-	switch next(x.situation(res, len(x.tried))) {
-	case stepRepeat:
+	res.status, res.err = sendOutcomeUnknown, err
+	x.logUnanswered(c, res)
+	x.recordEnd(c, !timeUp, true)
+	switch nextAction(x.sendState(res, len(x.tried))) {
+	case actionRetry:
 		return false
-	case stepFail:
-		x.fail(x.failStatus(), err.Error())
+	case actionFail:
+		x.fail(x.failureStatus(), err.Error())
 	default:
-		x.cut(err.Error())
+		x.abortAnswer(err.Error())
 	}
 	return true
 }
 
-// holdsEvent reports whether another whole event was read already, so that both can go out together.
-func holdsEvent(r *bufio.Reader) bool {
-	// Peeking at what is buffered doesn't fail.
+// eventBuffered reports whether the buffer holds another complete event, so that both can be flushed together.
+func eventBuffered(r *bufio.Reader) bool {
+	// Peek doesn't fail for bytes that are already buffered.
 	b, _ := r.Peek(r.Buffered())
 	return bytes.Contains(b, []byte("\n\n")) || bytes.Contains(b, []byte("\n\r\n"))
 }
 
-// readEvent reads one event with the empty line behind it. At the end of a stream it returns io.EOF, and
-// io.ErrUnexpectedEOF when the end is within an event.
+// readEvent reads one event including the empty line that ends it. It returns io.EOF at the end of the stream,
+// io.ErrUnexpectedEOF when the stream ends within an event, and errEventTooLarge for an event that is too long.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
 		switch {
-		case errors.Is(err, bufio.ErrBufferFull) && len(event) < maxEvent:
+		case errors.Is(err, bufio.ErrBufferFull) && len(event) < maxEventBytes:
 			continue
 		case errors.Is(err, bufio.ErrBufferFull):
-			return nil, errEvent
+			return nil, errEventTooLarge
 		case err == io.EOF && len(event) == 0:
 			return nil, io.EOF
 		case err == io.EOF:
--- a/pkg/relay/unanswered.go
+++ b/pkg/relay/unanswered.go
@@ -10,20 +10,21 @@
 	"github.com/daisyhatch/daisyhatch/pkg/fleet"
 )
 
-// unanswered notes a send to which no whole answer came. A server that ended counts against the request.
-func (x *exchange) unanswered(c fleet.Candidate, res *sendResult) {
-	begun, reason, flight, before := res.begun, res.reason(), x.flight, x.relay.opts.Suspects.Crashes(x.print)
-	look := func() {
-		state := x.relay.liveness.Look(x.ctx, c.Server, flight)
+// logUnanswered logs and counts a send that got no complete answer, with the state of the server. A server crash counts
+// against the request.
+func (x *exchange) logUnanswered(c fleet.Candidate, res *sendResult) {
+	start, reason, serverRun, crashes := res.start, res.reason(), x.serverRun, x.relay.opts.Suspects.Crashes(x.fingerprint)
+	report := func() {
+		state := x.relay.liveness.Look(x.ctx, c.Server, serverRun)
 		metrics.GetOrCreateCounter(fmt.Sprintf(`daisyhatch_relay_unanswered_total{server=%q}`, state)).Inc()
-		x.relay.opts.Log.Info("send without an answer", "request", x.call.ID, "fingerprint", strconv.FormatUint(x.print, 16),
+		x.relay.opts.Log.Info("send without an answer", "request", x.call.ID, "fingerprint", strconv.FormatUint(x.fingerprint, 16),
 			"service", x.service.Name, "server", c.ID, "incarnation", c.Incarnation(), "server_state", string(state),
-			"crashes", before, "took_ms", time.Since(begun).Milliseconds(), "reason", reason)
+			"crashes", crashes, "took_ms", time.Since(start).Milliseconds(), "reason", reason)
 	}
 	if x.ctx.Err() != nil {
-		// The caller's time is over.
-		go look()
+		// The request's context has ended; check the server without delaying the caller's end.
+		go report()
 		return
 	}
-	look()
+	report()
 }
