--- a/pkg/upstream/socket.go
+++ b/pkg/upstream/socket.go
@@ -11,7 +11,8 @@
 // tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT.
 const tcpUserTimeout = 0x12
 
-// setUserTimeout gives up a connection whose bytes stay unacknowledged. Without the option, the call's deadline does.
+// setUserTimeout makes the kernel close a connection whose sent data stays unacknowledged for d. Errors are ignored,
+// since the deadline of the call limits it as well.
 func setUserTimeout(c *net.TCPConn, d time.Duration) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -22,8 +23,9 @@
 	})
 }
 
-// quiet reports whether nothing waits to be read on an idle connection: neither its end nor bytes of nobody's answer.
-func quiet(c net.Conn) bool {
+// nothingReceived reports whether an idle connection has nothing to read: neither its end nor bytes that belong to no
+// call.
+func nothingReceived(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -42,8 +44,8 @@
 	return err == nil && !waiting
 }
 
-// keepAliveSeconds reads the timeout of a Keep-Alive header.
-func keepAliveSeconds(v string) (int, bool) {
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive header in seconds; false when there is none.
+func keepAliveTimeout(v string) (int, bool) {
 	for part := range strings.SplitSeq(v, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -1,5 +1,6 @@
-// Package upstream calls backend servers over HTTP/1.1 on kept connections. It never repeats a call by itself, and its
-// errors tell whether a byte of the call may have left: only a call of which nothing was sent has certainly not run.
+// Package upstream calls backend servers over HTTP/1.1 and reuses connections. It never repeats a call, and its errors
+// state whether a byte of the call may have been sent: only a call of which nothing was sent is certain not to have
+// run.
 package upstream
 
 import (
@@ -17,11 +18,11 @@
 	"time"
 )
 
-// Error is a call that failed.
+// Error is the error of a failed call.
 type Error struct {
 	// Sent is true when a byte of the call may have reached the server.
 	Sent bool
-	// Reused is true when the call went over a connection that had served another one.
+	// Reused is true when the connection had been in the pool before the call.
 	Reused bool
 	Err    error
 }
@@ -37,78 +38,81 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Errors behind Error.
+// Errors that an Error may wrap.
 var (
-	// ErrAnswer means that the server's bytes are no answer to this call.
+	// ErrAnswer means that the server sent bytes that are not a valid answer to the call.
 	ErrAnswer = errors.New("upstream: not an answer to this call")
 	// ErrClosed means that the pool is closed.
 	ErrClosed = errors.New("upstream: pool is closed")
-	// ErrRefused means that nothing listens at a server's address.
+	// ErrRefused means that nothing listens at the server's address.
 	ErrRefused = errors.New("upstream: nothing listens at the address")
 )
 
 const (
-	// idleDefault is how long a connection is kept when the server does not say how long it keeps it.
-	idleDefault = 4 * time.Second
-	// idleMargin is how much earlier than the server a connection is given up, so that a call doesn't cross its close.
+	// defaultIdleTime is how long an idle connection is kept when the server does not announce a keep-alive timeout.
+	defaultIdleTime = 4 * time.Second
+	// idleMargin is how much earlier than the server announces the client closes an idle connection, so that no call is
+	// sent while the server closes it.
 	idleMargin = 700 * time.Millisecond
-	// dialTimeout bounds connecting. Servers are milliseconds away; a lost opening packet is sent again after 1 s.
+	// dialTimeout bounds connecting. Servers are milliseconds away, and TCP retransmits a lost SYN after 1 s.
 	dialTimeout = 1200 * time.Millisecond
-	// silenceTimeout is how long sent bytes may stay unacknowledged before the connection is given up.
-	silenceTimeout = 2 * time.Second
-	// maxHead bounds an answer's head in bytes, those of informational answers before it included; a server in trouble
-	// sends bytes without end.
-	maxHead = 64 << 10
-	// maxStrays is how many answers to earlier calls are skipped on a connection.
-	maxStrays = 2
-	// maxStrayBody bounds a skipped answer's body in bytes.
-	maxStrayBody = 1 << 20
-	bufferBytes  = 4 << 10
-	// keptPerServer is how many idle connections are kept to one server.
-	keptPerServer = 64
-	// concurrentWrite is the body size from which the body is written beside reading the answer, since a server may
-	// answer before it has read a long body.
-	concurrentWrite = 8 << 10
+	// unackedTimeout is how long sent data may stay unacknowledged before the connection is closed.
+	unackedTimeout = 2 * time.Second
+	// maxHeadBytes bounds the head of an answer, including those of informational answers before it, since a faulty
+	// server may send data without end.
+	maxHeadBytes = 64 << 10
+	// maxSkippedAnswers bounds the answers to other calls that are skipped on a connection.
+	maxSkippedAnswers = 2
+	// maxSkippedBodyBytes bounds the body of a skipped answer.
+	maxSkippedBodyBytes = 1 << 20
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 4 << 10
+	// maxIdlePerServer bounds the idle connections to one server.
+	maxIdlePerServer = 64
+	// concurrentWriteBytes is the size from which a body is written while the answer is read, since a server may answer
+	// before it has read a long body.
+	concurrentWriteBytes = 8 << 10
 )
 
-// Call is one call.
+// Call is a request to a backend server.
 type Call struct {
 	// Address is the server's IP:port.
 	Address string
 	Method  string
-	// Target is the request target as it stands in the request line.
+	// Target is the request target as it appears in the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody states the length also of an empty body.
+	// HasBody makes the request state its Content-Length even when Body is empty.
 	HasBody bool
-	// MaxIdle is how long a kept connection may have been idle to be used; 0 takes any.
+	// MaxIdle bounds how long a reused connection may have been idle; 0 means no bound.
 	MaxIdle time.Duration
-	// Owns tells whether an answer's header belongs to this call; nil takes the first one. Others are skipped.
+	// Owns reports whether the answer with this header belongs to the call; other answers are skipped. nil accepts the
+	// first answer.
 	Owns func(http.Header) bool
-	// OnSend is called right before the first byte is written; an error keeps the call from being sent.
+	// OnSend, if not nil, is called right before the first byte is written. An error stops the call from being sent.
 	OnSend func() error
 }
 
-// Answer is the head of an answer; Body must be closed.
+// Answer is the head of a server's answer. Body must be closed.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Length is the body's length, -1 when it isn't known beforehand.
+	// Length is the length of the body in bytes, or -1 when it is not known in advance.
 	Length int64
-	// Delimited is false when the body ends with the connection.
+	// Delimited is false when only the end of the connection ends the body, so that a cut-off body can't be recognised.
 	Delimited bool
 
-	call *exchange
+	exchange *exchange
 }
 
-// Discard keeps the connection from being used again: what was read was not the answer, which may still come. Close is
-// needed all the same.
-func (a *Answer) Discard() { a.call.keep = 0 }
+// Discard stops the connection from being reused. It is for an answer that was not the expected one, since the right
+// one may still arrive on the connection. Body must be closed all the same.
+func (a *Answer) Discard() { a.exchange.keepTime = 0 }
 
-// Pool keeps connections to backend servers. It is safe for concurrent use.
+// Pool keeps idle connections to backend servers. It is safe for concurrent use.
 type Pool struct {
 	dial func(ctx context.Context, address string) (net.Conn, error)
 
@@ -118,7 +122,7 @@
 	dials  uint64
 }
 
-// NewPool returns a Pool; dial may be nil for TCP.
+// NewPool returns a Pool that connects with dial; nil means TCP.
 func NewPool(dial func(ctx context.Context, address string) (net.Conn, error)) *Pool {
 	if dial == nil {
 		dial = dialTCP
@@ -133,7 +137,7 @@
 		return nil, fmt.Errorf("upstream: connect: %w", err)
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
-		setUserTimeout(tcp, silenceTimeout)
+		setUserTimeout(tcp, unackedTimeout)
 	}
 	return c, nil
 }
@@ -142,46 +146,49 @@
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	source  *source
-	since   time.Time
-	until   time.Time
-	used    bool
+	limiter *headLimiter
+	// idleSince is when the connection became idle, idleUntil when it must be closed.
+	idleSince time.Time
+	idleUntil time.Time
+	// reused is true once the connection has been in the pool.
+	reused bool
 }
 
-// source reads from a connection; while a head is read, no more than left bytes.
-type source struct {
+// headLimiter is a connection that limits how many bytes can be read while an answer's head is read.
+type headLimiter struct {
 	net.Conn
-	inHead bool
-	left   int
+	inHead    bool
+	remaining int
 }
 
 // Read implements io.Reader.
-func (s *source) Read(b []byte) (int, error) {
+func (s *headLimiter) Read(b []byte) (int, error) {
 	if !s.inHead {
 		return s.Conn.Read(b)
 	}
-	if s.left <= 0 {
-		return 0, fmt.Errorf("%w: a head of more than %d bytes", ErrAnswer, maxHead)
+	if s.remaining <= 0 {
+		return 0, fmt.Errorf("%w: a head of more than %d bytes", ErrAnswer, maxHeadBytes)
 	}
-	n, err := s.Conn.Read(b[:min(len(b), s.left)])
-	s.left -= n
+	n, err := s.Conn.Read(b[:min(len(b), s.remaining)])
+	s.remaining -= n
 	return n, err
 }
 
-// head bounds what is read until body is called.
-func (s *source) head() { s.inHead, s.left = true, maxHead }
+// startHead limits reads to maxHeadBytes until endHead is called.
+func (s *headLimiter) startHead() { s.inHead, s.remaining = true, maxHeadBytes }
 
-func (s *source) body() { s.inHead = false }
+// endHead ends the limit on reads.
+func (s *headLimiter) endHead() { s.inHead = false }
 
-// Dials returns how many connections were made.
+// Dials returns the number of connections that the pool has tried to make.
 func (p *Pool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// take returns an idle connection on which nothing is waiting to be read, newest first.
-func (p *Pool) take(address string, maxIdle time.Duration) *conn {
+// takeIdle removes and returns the newest idle connection on which nothing was received; nil when there is none.
+func (p *Pool) takeIdle(address string, maxIdle time.Duration) *conn {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,8 +196,8 @@
 	for len(list) > 0 {
 		c := list[len(list)-1]
 		list = list[:len(list)-1]
-		fresh := maxIdle == 0 || now.Sub(c.since) <= maxIdle
-		if now.Before(c.until) && fresh && c.reader.Buffered() == 0 && quiet(c.Conn) {
+		fresh := maxIdle == 0 || now.Sub(c.idleSince) <= maxIdle
+		if now.Before(c.idleUntil) && fresh && c.reader.Buffered() == 0 && nothingReceived(c.Conn) {
 			p.idle[address] = list
 			return c
 		}
@@ -200,9 +207,10 @@
 	return nil
 }
 
-func (p *Pool) put(c *conn, keep time.Duration) {
+// putIdle keeps a connection for reuse for at most keep, or closes it.
+func (p *Pool) putIdle(c *conn, keep time.Duration) {
 	now := time.Now()
-	c.since, c.until, c.used = now, now.Add(keep), true
+	c.idleSince, c.idleUntil, c.reused = now, now.Add(keep), true
 	if err := c.SetDeadline(time.Time{}); err != nil || keep <= 0 {
 		_ = c.Close()
 		return
@@ -210,14 +218,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.address]
-	if p.closed || len(list) >= keptPerServer {
+	if p.closed || len(list) >= maxIdlePerServer {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.address] = append(list, c)
 }
 
-// Sweep closes connections that have been idle for too long.
+// Sweep closes connections whose idle time has expired.
 func (p *Pool) Sweep() {
 	now := time.Now()
 	p.mu.Lock()
@@ -225,7 +233,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
 				_ = c.Close()
@@ -240,7 +248,7 @@
 	}
 }
 
-// Close closes the idle connections; calls under way end by their contexts.
+// Close closes the idle connections. Calls in progress are ended by their contexts.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -267,12 +275,12 @@
 	if err != nil {
 		return nil, err
 	}
-	src := &source{Conn: c}
-	return &conn{Conn: c, address: address, source: src, reader: bufio.NewReaderSize(src, bufferBytes)}, nil
+	src := &headLimiter{Conn: c}
+	return &conn{Conn: c, address: address, limiter: src, reader: bufio.NewReaderSize(src, readBufferBytes)}, nil
 }
 
-// Reach tells whether a server takes connections: nil when it does, ErrRefused when nothing listens at its address, and any
-// other error when neither is certain. A connection that was made is kept for the next call.
+// Reach checks whether a server accepts connections. It returns nil if so, an error that wraps ErrRefused when nothing
+// listens at its address, and any other error when neither is certain. A new connection is kept for the next call.
 func (p *Pool) Reach(ctx context.Context, address string) error {
 	c, err := p.connect(ctx, address)
 	switch {
@@ -281,14 +289,14 @@
 	case err != nil:
 		return err
 	}
-	p.put(c, idleDefault)
+	p.putIdle(c, defaultIdleTime)
 	return nil
 }
 
-// Do makes a call and returns once the answer's head is there. When ctx ends, the connection is closed, also while the
-// body is read. Errors are *Error.
+// Do makes a call and returns when the head of the answer was read. When ctx ends, the connection is closed, also while
+// the body is being read. Errors are *Error.
 func (p *Pool) Do(ctx context.Context, call Call) (*Answer, error) {
-	c := p.take(call.Address, call.MaxIdle)
+	c := p.takeIdle(call.Address, call.MaxIdle)
 	if c == nil {
 		var err error
 		if c, err = p.connect(ctx, call.Address); err != nil {
@@ -297,21 +305,21 @@
 	}
 	if call.OnSend != nil {
 		if err := call.OnSend(); err != nil {
-			p.put(c, idleDefault)
+			p.putIdle(c, defaultIdleTime)
 			return nil, &Error{Err: err}
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	x := &exchange{pool: p, conn: c, stop: stop, ctx: ctx}
-	written, err := x.write(&call)
+	x := &exchange{pool: p, conn: c, stopWatch: stop, ctx: ctx}
+	written, err := x.writeRequest(&call)
 	if err != nil {
 		x.abandon()
-		return nil, &Error{Sent: written > 0, Reused: c.used, Err: x.cause(err)}
+		return nil, &Error{Sent: written > 0, Reused: c.reused, Err: x.joinCause(err)}
 	}
-	a, err := x.read(&call)
+	a, err := x.readAnswer(&call)
 	if err != nil {
 		x.abandon()
-		return nil, &Error{Sent: true, Reused: c.used, Err: x.cause(err)}
+		return nil, &Error{Sent: true, Reused: c.reused, Err: x.joinCause(err)}
 	}
 	return a, nil
 }
@@ -321,28 +329,31 @@
 	pool *Pool
 	conn *conn
 	ctx  context.Context
-	stop func() bool
-	// writing is closed when a body that is written beside reading is out; nil when all was written before.
-	writing  chan struct{}
-	writeErr error
-	keep     time.Duration
-	// body is the unread rest of the answer.
+	// stopWatch stops ctx from ending the connection; false when ctx has ended it already.
+	stopWatch func() bool
+	// bodyWritten is closed when the request body, written while the answer is read, is complete; nil when the request
+	// was written in full before.
+	bodyWritten chan struct{}
+	writeErr    error
+	// keepTime is how long the connection may be kept idle after the call; 0 or less closes it.
+	keepTime time.Duration
+	// body is the unread part of the answer's body.
 	body io.ReadCloser
 	done bool
 	eof  bool
 }
 
-// cause prefers the reason for which the call was given up.
-func (x *exchange) cause(err error) error {
+// joinCause adds the cancellation cause of the call's context, if any, to err.
+func (x *exchange) joinCause(err error) error {
 	if x.ctx.Err() != nil {
 		return errors.Join(context.Cause(x.ctx), err)
 	}
 	return err
 }
 
-func (x *exchange) write(call *Call) (int, error) {
+func (x *exchange) writeRequest(call *Call) (int, error) {
 	head := encodeHead(call)
-	if len(call.Body) < concurrentWrite {
+	if len(call.Body) < concurrentWriteBytes {
 		n, err := x.conn.Write(append(head, call.Body...))
 		if err != nil {
 			err = fmt.Errorf("upstream: write: %w", err)
@@ -353,9 +364,9 @@
 	if err != nil {
 		return n, fmt.Errorf("upstream: write: %w", err)
 	}
-	x.writing = make(chan struct{})
+	x.bodyWritten = make(chan struct{})
 	go func() {
-		defer close(x.writing)
+		defer close(x.bodyWritten)
 		_, x.writeErr = x.conn.Write(call.Body)
 	}()
 	return n, nil
@@ -368,16 +379,16 @@
 	if call.HasBody || len(call.Body) > 0 {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(call.Body)) + "\r\n")
 	}
-	// Writing to a bytes.Buffer does not fail; values with line breaks are made harmless by the library.
+	// Writing to a bytes.Buffer does not fail; WriteSubset replaces line breaks in values.
 	_ = call.Header.WriteSubset(&b, map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true})
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
 
-// read reads heads until one belongs to the call.
-func (x *exchange) read(call *Call) (*Answer, error) {
-	x.conn.source.head()
-	for stray := 0; ; {
+// readAnswer reads answers until one belongs to the call.
+func (x *exchange) readAnswer(call *Call) (*Answer, error) {
+	x.conn.limiter.startHead()
+	for skipped := 0; ; {
 		res, err := http.ReadResponse(x.conn.reader, &http.Request{Method: call.Method}) //nolint:bodyclose // closed with the Answer
 		if err != nil {
 			return nil, fmt.Errorf("upstream: read: %w", err)
@@ -385,37 +396,37 @@
 		if res.StatusCode < http.StatusOK && res.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		x.conn.source.body()
+		x.conn.limiter.endHead()
 		if call.Owns == nil || call.Owns(res.Header) {
-			return x.answer(res), nil
+			return x.newAnswer(res), nil
 		}
-		stray++
-		n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxStrayBody))
-		if err != nil || n == maxStrayBody || stray > maxStrays || res.Close {
-			return nil, fmt.Errorf("%w: %d answers to other calls", ErrAnswer, stray)
+		skipped++
+		n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxSkippedBodyBytes))
+		if err != nil || n == maxSkippedBodyBytes || skipped > maxSkippedAnswers || res.Close {
+			return nil, fmt.Errorf("%w: %d answers to other calls", ErrAnswer, skipped)
 		}
-		x.conn.source.head()
+		x.conn.limiter.startHead()
 	}
 }
 
-func (x *exchange) answer(res *http.Response) *Answer {
+func (x *exchange) newAnswer(res *http.Response) *Answer {
 	x.body = res.Body
-	x.keep = keepFor(res)
+	x.keepTime = connKeepTime(res)
 	delimited := res.ContentLength >= 0 || len(res.TransferEncoding) > 0
-	return &Answer{Status: res.StatusCode, Header: res.Header, Body: x, Length: res.ContentLength, Delimited: delimited, call: x}
+	return &Answer{Status: res.StatusCode, Header: res.Header, Body: x, Length: res.ContentLength, Delimited: delimited, exchange: x}
 }
 
-// keepFor returns how long the connection may be kept behind an answer; 0 closes it.
-func keepFor(res *http.Response) time.Duration {
+// connKeepTime returns how long the connection may be kept idle after an answer; 0 or less closes it.
+func connKeepTime(res *http.Response) time.Duration {
 	if res.Close {
 		return 0
 	}
 	for _, v := range res.Header.Values("Keep-Alive") {
-		if s, ok := keepAliveSeconds(v); ok {
+		if s, ok := keepAliveTimeout(v); ok {
 			return time.Duration(s)*time.Second - idleMargin
 		}
 	}
-	return idleDefault
+	return defaultIdleTime
 }
 
 // Read implements io.Reader.
@@ -424,37 +435,40 @@
 	if errors.Is(err, io.EOF) {
 		x.eof = true
 	} else if err != nil {
-		err = x.cause(fmt.Errorf("upstream: read body: %w", err))
+		err = x.joinCause(fmt.Errorf("upstream: read body: %w", err))
 	}
 	return n, err
 }
 
-// Close ends the call. A connection whose answer was read to its end is kept for the next one.
+// Close ends the call. The connection goes back to the pool if its answer was read to the end and its request was
+// written in full.
 func (x *exchange) Close() error {
 	if x.done {
 		return nil
 	}
-	clean := x.eof && x.keep > 0
-	if clean && x.writing != nil {
+	clean := x.eof && x.keepTime > 0
+	if clean && x.bodyWritten != nil {
 		select {
-		case <-x.writing:
+		case <-x.bodyWritten:
 			clean = x.writeErr == nil
 		default:
-			// The server answered before it took the whole body; what it reads next must be that body.
+			// The server answered before it read the whole body. It would take the next request for the rest of that
+			// body.
 			clean = false
 		}
 	}
-	if !clean || !x.stop() || x.conn.reader.Buffered() > 0 {
+	if !clean || !x.stopWatch() || x.conn.reader.Buffered() > 0 {
 		x.abandon()
 		return nil
 	}
 	x.done = true
-	x.pool.put(x.conn, x.keep)
+	x.pool.putIdle(x.conn, x.keepTime)
 	return nil
 }
 
+// abandon ends the call and closes its connection.
 func (x *exchange) abandon() {
 	x.done = true
-	x.stop()
+	x.stopWatch()
 	_ = x.conn.Close()
 }
