--- a/pkg/relay/send.go
+++ b/pkg/relay/send.go
@@ -272,8 +272,8 @@
 	return out
 }
 
-// EndToEnd returns a copy of a header without the hop-by-hop headers and those that its Connection header lists.
-func EndToEnd(h http.Header) http.Header {
+// EndToEndHeader returns a copy of a header without the hop-by-hop headers and those that its Connection header lists.
+func EndToEndHeader(h http.Header) http.Header {
 	out := make(http.Header, len(h)+8)
 	copyHeader(out, h)
 	return out
