--- a/pkg/relay/stages.go
+++ b/pkg/relay/stages.go
@@ -10,7 +10,7 @@
 
 // Stages runs the stages of requests. It is safe for concurrent use.
 type Stages interface {
-	// Run runs the pieces of one stage and returns one result per piece. It returns *StageRefused when the stage can't
+	// Run runs the pieces of one stage and returns one result per piece. It returns *StageRefusedError when the stage can't
 	// be done in time, and other errors when the pieces failed.
 	Run(ctx context.Context, q StageRequest) ([]StageResult, error)
 	// Free releases results on the servers that hold them. It doesn't block.
@@ -54,8 +54,8 @@
 	Domain string
 }
 
-// StageRefused is the error for a stage that can't be done in time. The request itself has not run.
-type StageRefused struct {
+// StageRefusedError is the error for a stage that can't be done in time. The request itself has not run.
+type StageRefusedError struct {
 	// RetryAfter is the time until there is expected to be capacity.
 	RetryAfter time.Duration
 	Reason     string
@@ -64,7 +64,7 @@
 }
 
 // Error implements error.
-func (e *StageRefused) Error() string { return "relay: stage refused: " + e.Reason }
+func (e *StageRefusedError) Error() string { return "relay: stage refused: " + e.Reason }
 
 // engineFirstEventP95 is the time that stage deadlines leave for the engine: the 95th percentile of its time to the
 // first event.
@@ -100,7 +100,7 @@
 		x.failedStage = ""
 		err := x.runStagesOnce()
 		x.stagesTook = time.Since(x.start)
-		var refused *StageRefused
+		var refused *StageRefusedError
 		switch {
 		case err == nil:
 			return true
@@ -378,7 +378,7 @@
 		x.fail(x.failureStatus(), "the stages could not be run again: "+err.Error())
 		return
 	}
-	var refused *StageRefused
+	var refused *StageRefusedError
 	if errors.As(err, &refused) {
 		x.refuse(http.StatusServiceUnavailable, max(refused.RetryAfter, minRetryAfter), refused.Error())
 		return
--- a/pkg/stageclient/stageclient.go
+++ b/pkg/stageclient/stageclient.go
@@ -101,7 +101,7 @@
 		owner, changed := c.known.StageOwner(q.Service)
 		if owner.Address != "" {
 			results, err := c.runAt(ctx, owner, q)
-			var refused *relay.StageRefused
+			var refused *relay.StageRefusedError
 			if err == nil || errors.As(err, &refused) || ctx.Err() != nil {
 				return results, err
 			}
@@ -116,7 +116,7 @@
 			}
 			return c.results(res)
 		case now.After(patience):
-			return nil, &relay.StageRefused{RetryAfter: ownerRetry, Reason: "no control VM forms the calls of the service now"}
+			return nil, &relay.StageRefusedError{RetryAfter: ownerRetry, Reason: "no control VM forms the calls of the service now"}
 		}
 		select {
 		case <-ctx.Done():
@@ -204,13 +204,13 @@
 func (c *Client) results(m *daisyhatchv1.StageRunResponse) ([]relay.StageResult, error) {
 	if m.GetRefused() {
 		wait := time.Duration(m.GetRetryAfterMs()) * time.Millisecond
-		return nil, &relay.StageRefused{RetryAfter: wait, Reason: cmp.Or(m.GetReason(), "the queue is too long for the deadline")}
+		return nil, &relay.StageRefusedError{RetryAfter: wait, Reason: cmp.Or(m.GetReason(), "the queue is too long for the deadline")}
 	}
 	var out []relay.StageResult
 	var failed error
 	for _, r := range m.GetResults() {
 		if r.GetHandle() == "" {
-			failed = &relay.StageRefused{
+			failed = &relay.StageRefusedError{
 				RetryAfter: pieceRetry, Reason: "a piece was not made: " + r.GetReason(),
 				Lost: r.GetReason() == dialect.ReasonGone || r.GetReason() == dialect.ReasonError,
 			}
--- a/pkg/stageclient/stageclient_test.go
+++ b/pkg/stageclient/stageclient_test.go
@@ -190,7 +190,7 @@
 			q := job()
 			q.Deadline = begin.Add(2 * time.Second)
 			_, err := newClient(known(o), true).Run(limited(t), q)
-			var refused *relay.StageRefused
+			var refused *relay.StageRefusedError
 			require.True(t, errors.As(err, &refused), "%v", err)
 			require.Less(t, time.Since(begin), 1500*time.Millisecond)
 			require.Positive(t, refused.RetryAfter)
