--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -66,7 +66,7 @@
 	FailureDomain string
 	Dialect       dialect.Dialect
 	Knowledge     Knowledge
-	Stages        Stages
+	Stages        StageRunner
 	Pool          *upstream.Pool
 	// Suspects refuses requests that are suspected of crashing servers.
 	Suspects *quarantine.Tracker
--- a/pkg/relay/stages.go
+++ b/pkg/relay/stages.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Stages runs the stages of requests. It is safe for concurrent use.
-type Stages interface {
+// StageRunner runs the stages of requests. It is safe for concurrent use.
+type StageRunner interface {
 	// Run runs the pieces of one stage and returns one result per piece. It returns *StageRefusedError when the stage can't
 	// be done in time, and other errors when the pieces failed.
 	Run(ctx context.Context, q StageRequest) ([]StageResult, error)
--- a/pkg/stageclient/stageclient.go
+++ b/pkg/stageclient/stageclient.go
@@ -93,7 +93,7 @@
 	errNoResults = errors.New("stageclient: the answer ended without results")
 )
 
-// Run implements relay.Stages. A job whose owner can't be reached is tried again, at the owner that the group names by
+// Run implements relay.StageRunner. A job whose owner can't be reached is tried again, at the owner that the group names by
 // then.
 func (c *Client) Run(ctx context.Context, q relay.StageRequest) ([]relay.StageResult, error) {
 	patience := time.Now().Add(min(ownerWait, time.Duration(ownerWaitShare*float64(time.Until(q.Deadline)))))
@@ -224,5 +224,5 @@
 // pieceRetry is when a request may come back of which a piece could not be made: about a call's time.
 const pieceRetry = 300 * time.Millisecond
 
-// Free implements relay.Stages.
+// Free implements relay.StageRunner.
 func (c *Client) Free(handles []string) { c.freer.Free(handles) }
