--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -35,8 +35,8 @@
 	"github.com/daisyhatch/daisyhatch/pkg/upstream"
 )
 
-// Knowledge is the relay's view of the system: the configuration and the state of servers and VMs.
-type Knowledge interface {
+// View is the relay's view of the system: the configuration and the state of servers and VMs.
+type View interface {
 	// Catalog returns the configuration in force; nil while none is known.
 	Catalog() *catalog.Set
 	// Current reports whether the control group has confirmed the state at least once since the process started.
@@ -65,7 +65,7 @@
 	VM            string
 	FailureDomain string
 	Dialect       dialect.Dialect
-	Knowledge     Knowledge
+	Knowledge     View
 	Stages        StageRunner
 	Pool          *upstream.Pool
 	// Suspects refuses requests that are suspected of crashing servers.
