--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -148,7 +148,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			r.opts.Pool.Sweep()
+			r.opts.Pool.CloseExpired()
 			r.mu.Lock()
 			keep := r.opts.Knowledge.Allowed
 			r.placements.Retain(keep, time.Now())
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -225,8 +225,8 @@
 	p.idle[c.address] = append(list, c)
 }
 
-// Sweep closes connections whose idle time has expired.
-func (p *Pool) Sweep() {
+// CloseExpired closes connections whose idle time has expired.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
