--- a/pkg/liveness/liveness.go
+++ b/pkg/liveness/liveness.go
@@ -85,7 +85,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lookTime)
 	defer cancel()
-	switch err := c.pool.Reach(ctx, v.Address); {
+	switch err := c.pool.CheckReachable(ctx, v.Address); {
 	case err == nil:
 		return Reachable
 	case errors.Is(err, upstream.ErrRefused):
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -279,9 +279,9 @@
 	return &conn{Conn: c, address: address, limiter: src, reader: bufio.NewReaderSize(src, readBufferBytes)}, nil
 }
 
-// Reach checks whether a server accepts connections. It returns nil if so, an error that wraps ErrRefused when nothing
+// CheckReachable checks whether a server accepts connections. It returns nil if so, an error that wraps ErrRefused when nothing
 // listens at its address, and any other error when neither is certain. A new connection is kept for the next call.
-func (p *Pool) Reach(ctx context.Context, address string) error {
+func (p *Pool) CheckReachable(ctx context.Context, address string) error {
 	c, err := p.connect(ctx, address)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
