--- a/pkg/relay/send.go
+++ b/pkg/relay/send.go
@@ -71,7 +71,7 @@
 			Server: c.ID, Remaining: x.deadline.Sub(start), Organisation: x.organisation, Inputs: x.inputs.list(),
 			ResumeAfter: x.lastEventID, Urgency: enginePriority(x.priority),
 		}),
-		Owns: func(h http.Header) bool {
+		IsAnswer: func(h http.Header) bool {
 			id := r.opts.Dialect.Answer(0, h).CallID
 			return id == "" || id == x.call.ID
 		},
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -88,9 +88,9 @@
 	HasBody bool
 	// MaxIdle bounds how long a reused connection may have been idle; 0 means no bound.
 	MaxIdle time.Duration
-	// Owns reports whether the answer with this header belongs to the call; other answers are skipped. nil accepts the
+	// IsAnswer reports whether the answer with this header belongs to the call; other answers are skipped. nil accepts the
 	// first answer.
-	Owns func(http.Header) bool
+	IsAnswer func(http.Header) bool
 	// OnSend, if not nil, is called right before the first byte is written. An error stops the call from being sent.
 	OnSend func() error
 }
@@ -397,7 +397,7 @@
 			continue
 		}
 		x.conn.limiter.endHead()
-		if call.Owns == nil || call.Owns(res.Header) {
+		if call.IsAnswer == nil || call.IsAnswer(res.Header) {
 			return x.newAnswer(res), nil
 		}
 		skipped++
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -137,7 +137,7 @@
 		_, _ = r.ReadByte()
 	})
 	q := newCall(address)
-	q.Owns = func(h http.Header) bool { return h.Get("Id") == "1" }
+	q.IsAnswer = func(h http.Header) bool { return h.Get("Id") == "1" }
 	body, err := doCall(t, NewPool(nil), q)
 	require.NoError(t, err)
 	require.Equal(t, "me", body)
