--- a/pkg/relay/send.go
+++ b/pkg/relay/send.go
@@ -75,7 +75,7 @@
 			id := r.opts.Dialect.Answer(0, h).CallID
 			return id == "" || id == x.call.ID
 		},
-		OnSend: func() error {
+		BeforeSend: func() error {
 			if !r.opts.Knowledge.Allowed(c.ID) {
 				return errServerLeaving
 			}
--- a/pkg/stagecall/send.go
+++ b/pkg/stagecall/send.go
@@ -44,7 +44,7 @@
 	a, err := p.runner.opts.Pool.Do(ctx, upstream.Call{
 		Address: c.Server.Address, Method: method, Target: path, Host: c.Server.Address,
 		Header: d.TargetHeader(c.Server.ID, latest.Sub(c.Begun)), Body: body, HasBody: true,
-		OnSend: func() error { return p.runner.mayAsk(c.Server.record()) },
+		BeforeSend: func() error { return p.runner.mayAsk(c.Server.record()) },
 	})
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 	method, path := d.StageReport()
 	a, err := r.opts.Asides.Do(ctx, upstream.Call{
 		Address: v.Address, Method: method, Target: path, Host: v.Address, Header: d.TargetHeader(v.ID, roomPatience),
-		OnSend: func() error { return r.mayAsk(v.record()) },
+		BeforeSend: func() error { return r.mayAsk(v.record()) },
 	})
 	if err != nil {
 		return dialect.Room{}, err
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -91,8 +91,8 @@
 	// IsAnswer reports whether the answer with this header belongs to the call; other answers are skipped. nil accepts the
 	// first answer.
 	IsAnswer func(http.Header) bool
-	// OnSend, if not nil, is called right before the first byte is written. An error stops the call from being sent.
-	OnSend func() error
+	// BeforeSend, if not nil, is called right before the first byte is written. An error stops the call from being sent.
+	BeforeSend func() error
 }
 
 // Answer is the head of a server's answer. Body must be closed.
@@ -303,8 +303,8 @@
 			return nil, &Error{Err: err}
 		}
 	}
-	if call.OnSend != nil {
-		if err := call.OnSend(); err != nil {
+	if call.BeforeSend != nil {
+		if err := call.BeforeSend(); err != nil {
 			p.putIdle(c, defaultIdleTime)
 			return nil, &Error{Err: err}
 		}
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -213,7 +213,7 @@
 		}
 	})
 	q := newCall(address)
-	q.OnSend = func() error { return errors.New("server is leaving") }
+	q.BeforeSend = func() error { return errors.New("server is leaving") }
 	_, err := doCall(t, NewPool(nil), q)
 	requireSent(t, err, false)
 }
