--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -40,8 +40,8 @@
 
 // Errors that an Error may wrap.
 var (
-	// ErrAnswer means that the server sent bytes that are not a valid answer to the call.
-	ErrAnswer = errors.New("upstream: not an answer to this call")
+	// ErrInvalidAnswer means that the server sent bytes that are not a valid answer to the call.
+	ErrInvalidAnswer = errors.New("upstream: not an answer to this call")
 	// ErrClosed means that the pool is closed.
 	ErrClosed = errors.New("upstream: pool is closed")
 	// ErrRefused means that nothing listens at the server's address.
@@ -167,7 +167,7 @@
 		return s.Conn.Read(b)
 	}
 	if s.remaining <= 0 {
-		return 0, fmt.Errorf("%w: a head of more than %d bytes", ErrAnswer, maxHeadBytes)
+		return 0, fmt.Errorf("%w: a head of more than %d bytes", ErrInvalidAnswer, maxHeadBytes)
 	}
 	n, err := s.Conn.Read(b[:min(len(b), s.remaining)])
 	s.remaining -= n
@@ -403,7 +403,7 @@
 		skipped++
 		n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxSkippedBodyBytes))
 		if err != nil || n == maxSkippedBodyBytes || skipped > maxSkippedAnswers || res.Close {
-			return nil, fmt.Errorf("%w: %d answers to other calls", ErrAnswer, skipped)
+			return nil, fmt.Errorf("%w: %d answers to other calls", ErrInvalidAnswer, skipped)
 		}
 		x.conn.limiter.startHead()
 	}
