--- a/pkg/liveness/liveness.go
+++ b/pkg/liveness/liveness.go
@@ -88,7 +88,7 @@
 	switch err := c.pool.CheckReachable(ctx, v.Address); {
 	case err == nil:
 		return Reachable
-	case errors.Is(err, upstream.ErrRefused):
+	case errors.Is(err, upstream.ErrConnRefused):
 		return Ended
 	default:
 		return Silent
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -44,8 +44,8 @@
 	ErrInvalidAnswer = errors.New("upstream: not an answer to this call")
 	// ErrClosed means that the pool is closed.
 	ErrClosed = errors.New("upstream: pool is closed")
-	// ErrRefused means that nothing listens at the server's address.
-	ErrRefused = errors.New("upstream: nothing listens at the address")
+	// ErrConnRefused means that nothing listens at the server's address.
+	ErrConnRefused = errors.New("upstream: nothing listens at the address")
 )
 
 const (
@@ -285,7 +285,7 @@
 	c, err := p.connect(ctx, address)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return fmt.Errorf("%w: %w", ErrRefused, err)
+		return fmt.Errorf("%w: %w", ErrConnRefused, err)
 	case err != nil:
 		return err
 	}
