--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestOnSendErrorSendsNothing(t *testing.T) {
+func TestBeforeSendErrorSendsNothing(t *testing.T) {
 	address := startServer(t, func(_ net.Conn, r *bufio.Reader) {
 		if _, ok := readRequest(r); ok {
 			t.Error("the server received a request")
