--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -385,7 +385,7 @@
 	}
 	s := f.settings.Fleet
 	f.relay = relay.New(relay.Options{
-		VM: f.settings.VM.Name, FailureDomain: f.settings.VM.FailureDomain, Dialect: f.dialect, Knowledge: f.state,
+		VM: f.settings.VM.Name, FailureDomain: f.settings.VM.FailureDomain, Dialect: f.dialect, View: f.state,
 		Stages: stageclient.New(stageclient.Options{
 			Known: f.state, Heard: w.follower.Heard, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
 			Log: k.Log().WithName("stages"),
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -65,7 +65,7 @@
 	VM            string
 	FailureDomain string
 	Dialect       dialect.Dialect
-	Knowledge     View
+	View          View
 	Stages        StageRunner
 	Pool          *upstream.Pool
 	// Suspects refuses requests that are suspected of crashing servers.
@@ -114,7 +114,7 @@
 	return &Relay{
 		opts: o, cold: allowance.NewWindow(time.Second), answeredLog: logsink.NewBudget(logsink.AnsweredPerSecond), health: newHealth(), placements: placement.NewBook(),
 		plainInFlight: make(map[string]int), maxTimeout: make(map[string]time.Duration),
-		liveness: liveness.New(o.Pool, func(id string) (directory.Server, bool) { return o.Knowledge.Server(id) }),
+		liveness: liveness.New(o.Pool, func(id string) (directory.Server, bool) { return o.View.Server(id) }),
 	}
 }
 
@@ -150,7 +150,7 @@
 		case <-t.C:
 			r.opts.Pool.CloseExpired()
 			r.mu.Lock()
-			keep := r.opts.Knowledge.Allowed
+			keep := r.opts.View.Allowed
 			r.placements.Retain(keep, time.Now())
 			r.health.retain(keep)
 			r.mu.Unlock()
@@ -242,7 +242,7 @@
 
 // accept checks the request. If the request can't be served, it answers it and returns false.
 func (x *exchange) accept() bool {
-	k := x.relay.opts.Knowledge
+	k := x.relay.opts.View
 	x.catalog = k.Catalog()
 	if x.catalog == nil || !k.Current() {
 		x.refuse(http.StatusServiceUnavailable, noConfigurationRetryAfter, "no configuration is known yet")
@@ -391,7 +391,7 @@
 	if x.catalog != nil {
 		version = x.catalog.Version
 	}
-	k := x.relay.opts.Knowledge
+	k := x.relay.opts.View
 	fields := []any{
 		"id", x.call.ID, "route", route, "service", service, "organisation", x.organisation, "outcome", x.outcome,
 		"status", x.status, "reason", x.reason, "late", late, "took_ms", took.Milliseconds(), "waited_ms", x.waited.Milliseconds(),
--- a/pkg/relay/run.go
+++ b/pkg/relay/run.go
@@ -108,7 +108,7 @@
 // retryAfterNoServer returns the Retry-After time for a request that found no server: the time until the first server
 // accepts requests again, but at least noServerRetryAfter.
 func (x *exchange) retryAfterNoServer() time.Duration {
-	wait, _ := x.relay.opts.Knowledge.Back(x.service.Name, time.Now())
+	wait, _ := x.relay.opts.View.Back(x.service.Name, time.Now())
 	return max(wait, noServerRetryAfter)
 }
 
@@ -137,7 +137,7 @@
 func (x *exchange) sendState(res *sendResult, sends int) sendState {
 	now := time.Now()
 	untried := 0
-	for _, c := range x.relay.opts.Knowledge.Serving(x.service.Name, now) {
+	for _, c := range x.relay.opts.View.Serving(x.service.Name, now) {
 		if !slices.Contains(x.tried, c.ID) {
 			untried++
 		}
@@ -147,7 +147,7 @@
 		crashes: x.relay.opts.Suspects.Crashes(x.fingerprint), remaining: x.deadline.Sub(now), untried: untried,
 		canRerunStages: x.canRerunStages(), inputsReleased: x.inputs.isReleased(),
 		takeRetry: func() bool {
-			return x.relay.opts.Repeats.Allow(x.service.Name, len(x.relay.opts.Knowledge.Entries(now)), now)
+			return x.relay.opts.Repeats.Allow(x.service.Name, len(x.relay.opts.View.Entries(now)), now)
 		},
 	}
 }
@@ -157,7 +157,7 @@
 func (x *exchange) chooseServer() (fleet.Candidate, bool) {
 	now := time.Now()
 	r := x.relay
-	candidates := slices.DeleteFunc(r.opts.Knowledge.Serving(x.service.Name, now), func(c fleet.Candidate) bool {
+	candidates := slices.DeleteFunc(r.opts.View.Serving(x.service.Name, now), func(c fleet.Candidate) bool {
 		return slices.Contains(x.tried, c.ID)
 	})
 	r.mu.Lock()
@@ -181,7 +181,7 @@
 func (x *exchange) preferredServerDomain() string {
 	now := time.Now()
 	r := x.relay
-	candidates := r.opts.Knowledge.Serving(x.service.Name, now)
+	candidates := r.opts.View.Serving(x.service.Name, now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ranked := r.rank(x, candidates, now); len(ranked) > 0 {
@@ -193,7 +193,7 @@
 // coldShare returns how many requests this VM may send to a cold server per second: its share of the bound for all VMs.
 func (r *Relay) coldShare(s *catalog.Service, server string, now time.Time) int {
 	bound := s.ColdRate*r.opts.ColdOverrun + r.opts.ColdExtra
-	return allowance.Share(bound, server, fleet.EntryID(r.opts.VM), r.opts.Knowledge.Entries(now))
+	return allowance.Share(bound, server, fleet.EntryID(r.opts.VM), r.opts.View.Entries(now))
 }
 
 // rank orders the candidates from best to worst. r.mu must be held.
--- a/pkg/relay/send.go
+++ b/pkg/relay/send.go
@@ -76,7 +76,7 @@
 			return id == "" || id == x.call.ID
 		},
 		BeforeSend: func() error {
-			if !r.opts.Knowledge.Allowed(c.ID) {
+			if !r.opts.View.Allowed(c.ID) {
 				return errServerLeaving
 			}
 			if _, refused := r.opts.Suspects.Refused(x.fingerprint); refused {
@@ -176,7 +176,7 @@
 // recordNotice records what the server reported about itself in an answer: that it is leaving, or wants no calls for
 // some time.
 func (x *exchange) recordNotice(c fleet.Candidate, n holdoff.Notice) {
-	if x.relay.opts.Knowledge.Noticed(c.Server, n, time.Now()) {
+	if x.relay.opts.View.Noticed(c.Server, n, time.Now()) {
 		x.relay.opts.Log.Info("server wants no more calls", "request", x.call.ID, "service", x.service.Name, "server", c.ID,
 			"incarnation", c.Incarnation(), "leaving", n.Leaving, "wait_ms", n.Wait.Milliseconds())
 	}
