--- a/pkg/relay/stages.go
+++ b/pkg/relay/stages.go
@@ -10,8 +10,8 @@
 
 // StageRunner runs the stages of requests. It is safe for concurrent use.
 type StageRunner interface {
-	// Run runs the pieces of one stage and returns one result per piece. It returns *StageRefusedError when the stage can't
-	// be done in time, and other errors when the pieces failed.
+	// Run runs the pieces of one stage and returns one result per piece. It returns *StageRefusedError when the stage
+	// can't be done in time, and other errors when the pieces failed.
 	Run(ctx context.Context, q StageRequest) ([]StageResult, error)
 	// Free releases results on the servers that hold them. It doesn't block.
 	Free(handles []string)
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -88,10 +88,11 @@
 	HasBody bool
 	// MaxIdle bounds how long a reused connection may have been idle; 0 means no bound.
 	MaxIdle time.Duration
-	// IsAnswer reports whether the answer with this header belongs to the call; other answers are skipped. nil accepts the
-	// first answer.
+	// IsAnswer reports whether an answer with this header belongs to the call; other answers are skipped. nil accepts
+	// the first answer.
 	IsAnswer func(http.Header) bool
-	// BeforeSend, if not nil, is called right before the first byte is written. An error stops the call from being sent.
+	// BeforeSend, if not nil, is called right before the first byte is written. An error stops the call from being
+	// sent.
 	BeforeSend func() error
 }
 
@@ -279,8 +280,9 @@
 	return &conn{Conn: c, address: address, limiter: src, reader: bufio.NewReaderSize(src, readBufferBytes)}, nil
 }
 
-// CheckReachable checks whether a server accepts connections. It returns nil if so, an error that wraps ErrRefused when nothing
-// listens at its address, and any other error when neither is certain. A new connection is kept for the next call.
+// CheckReachable checks whether a server accepts connections. It returns nil if so, an error that wraps ErrConnRefused
+// when nothing listens at its address, and any other error when neither is certain. A new connection is kept for the
+// next call.
 func (p *Pool) CheckReachable(ctx context.Context, address string) error {
 	c, err := p.connect(ctx, address)
 	switch {
