--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -71,7 +71,7 @@
 	// Suspects refuses requests that are suspected of crashing servers.
 	Suspects *quarantine.Tracker
 	// Repeats limits retries: sends of a request beyond the first.
-	Repeats *allowance.Repeats
+	Repeats *allowance.RetryBudget
 	// ColdOverrun and ColdExtra bound the requests per second that a cold server gets from all VMs: its configured rate
 	// times ColdOverrun, plus ColdExtra.
 	ColdOverrun float64
@@ -102,7 +102,7 @@
 
 	mu         sync.Mutex
 	health     *health
-	placements *placement.Book
+	placements *placement.Placer
 	// plainInFlight is the number of requests that this VM runs on each server of services without an engine.
 	plainInFlight map[string]int
 	// maxTimeout is the longest caller timeout seen so far, by route name.
@@ -112,7 +112,7 @@
 // New returns a Relay. Run must be called for its periodic cleanup.
 func New(o Options) *Relay {
 	return &Relay{
-		opts: o, cold: allowance.NewWindow(time.Second), answeredLog: logsink.NewBudget(logsink.AnsweredPerSecond), health: newHealth(), placements: placement.NewBook(),
+		opts: o, cold: allowance.NewWindow(time.Second), answeredLog: logsink.NewBudget(logsink.AnsweredPerSecond), health: newHealth(), placements: placement.NewPlacer(),
 		plainInFlight: make(map[string]int), maxTimeout: make(map[string]time.Duration),
 		liveness: liveness.New(o.Pool, func(id string) (directory.Server, bool) { return o.View.Server(id) }),
 	}
@@ -215,7 +215,7 @@
 	// stageRuns is how often the stages were run.
 	stageRuns int
 	// placed is the current send to an engine; nil without one.
-	placed *placement.Sent
+	placed *placement.InFlight
 	// tried lists the servers to which a send was attempted, in order.
 	tried []string
 	// possibleRuns is the number of servers that may have run the request.
@@ -262,7 +262,7 @@
 	if !x.authenticate() {
 		return false
 	}
-	timeout := x.call.Patience
+	timeout := x.call.MaxWait
 	if timeout <= 0 {
 		timeout = defaultCallerTimeout
 	}
--- a/pkg/relay/run.go
+++ b/pkg/relay/run.go
@@ -23,7 +23,7 @@
 	if !x.runStages() {
 		return
 	}
-	x.relay.opts.Repeats.Request(x.service.Name, x.start)
+	x.relay.opts.Repeats.CountRequest(x.service.Name, x.start)
 	sends := 0
 	for {
 		if x.inputs.isReleased() && !x.runStages() {
@@ -147,7 +147,7 @@
 		crashes: x.relay.opts.Suspects.Crashes(x.fingerprint), remaining: x.deadline.Sub(now), untried: untried,
 		canRerunStages: x.canRerunStages(), inputsReleased: x.inputs.isReleased(),
 		takeRetry: func() bool {
-			return x.relay.opts.Repeats.Allow(x.service.Name, len(x.relay.opts.View.Entries(now)), now)
+			return x.relay.opts.Repeats.TakeRetry(x.service.Name, len(x.relay.opts.View.Entries(now)), now)
 		},
 	}
 }
@@ -210,7 +210,7 @@
 	}
 	q := placement.Request{Prompt: x.call.Prompt, InputMB: x.inputMB, Domain: r.opts.FailureDomain}
 	out := make([]fleet.Candidate, 0, len(candidates))
-	for _, e := range r.placements.Choose(q, engines, x.service.Engine.CacheTokens, now) {
+	for _, e := range r.placements.Rank(q, engines, x.service.Engine.CacheTokens, now) {
 		out = append(out, byID[e.ID])
 	}
 	return out
--- a/pkg/relay/send.go
+++ b/pkg/relay/send.go
@@ -67,9 +67,9 @@
 	call := upstream.Call{
 		Address: c.Address, Method: x.req.Method, Target: x.req.RequestURI, Host: x.req.Host, Body: x.body,
 		HasBody: x.req.ContentLength != 0 || len(x.req.TransferEncoding) > 0,
-		Header: r.opts.Dialect.Outgoing(x.req.Header, dialect.Attempt{
+		Header: r.opts.Dialect.RequestHeader(x.req.Header, dialect.Attempt{
 			Server: c.ID, Remaining: x.deadline.Sub(start), Organisation: x.organisation, Inputs: x.inputs.list(),
-			ResumeAfter: x.lastEventID, Urgency: enginePriority(x.priority),
+			ResumeAfter: x.lastEventID, Priority: enginePriority(x.priority),
 		}),
 		IsAnswer: func(h http.Header) bool {
 			id := r.opts.Dialect.Answer(0, h).CallID
@@ -190,7 +190,7 @@
 	x.inFlight = true
 	x.serverRun = r.opts.Suspects.Begin(liveness.Target(c.Server), x.fingerprint)
 	if x.service.Engine != nil {
-		x.placed = r.placements.Send(x.call.Prompt, c.ID, now)
+		x.placed = r.placements.Add(x.call.Prompt, c.ID, now)
 	} else {
 		r.plainInFlight[c.ID]++
 	}
@@ -202,7 +202,7 @@
 	defer r.mu.Unlock()
 	r.health.recordAnswer(x.service.Name, c.ID, first, time.Now())
 	if x.placed != nil {
-		r.placements.Started(x.placed)
+		r.placements.PrefillDone(x.placed)
 	}
 }
 
@@ -221,7 +221,7 @@
 		r.health.recordFailure(c.ID, time.Now())
 	}
 	if x.placed != nil {
-		r.placements.Ended(x.placed, lost)
+		r.placements.Remove(x.placed, lost)
 		x.placed = nil
 	} else if r.plainInFlight[c.ID]--; r.plainInFlight[c.ID] <= 0 {
 		delete(r.plainInFlight, c.ID)
--- a/pkg/relay/unanswered.go
+++ b/pkg/relay/unanswered.go
@@ -15,7 +15,7 @@
 func (x *exchange) logUnanswered(c fleet.Candidate, res *sendResult) {
 	start, reason, serverRun, crashes := res.start, res.reason(), x.serverRun, x.relay.opts.Suspects.Crashes(x.fingerprint)
 	report := func() {
-		state := x.relay.liveness.Look(x.ctx, c.Server, serverRun)
+		state := x.relay.liveness.Check(x.ctx, c.Server, serverRun)
 		metrics.GetOrCreateCounter(fmt.Sprintf(`daisyhatch_relay_unanswered_total{server=%q}`, state)).Inc()
 		x.relay.opts.Log.Info("send without an answer", "request", x.call.ID, "fingerprint", strconv.FormatUint(x.fingerprint, 16),
 			"service", x.service.Name, "server", c.ID, "incarnation", c.Incarnation(), "server_state", string(state),
