--- a/pkg/liveness/liveness.go
+++ b/pkg/liveness/liveness.go
@@ -87,10 +87,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	switch err := c.pool.Reach(ctx, v.Address); {
+	switch err := c.pool.CheckReachable(ctx, v.Address); {
 	case err == nil:
 		return Reachable
-	case errors.Is(err, upstream.ErrRefused):
+	case errors.Is(err, upstream.ErrConnRefused):
 		return Ended
 	default:
 		return Silent
