--- a/internal/capacity/probes_acquire.go
+++ b/internal/capacity/probes_acquire.go
@@ -62,7 +62,7 @@
 }
 
 // askEvery is the interval between two requests to one grantor at the design size.
-var askEvery = slots.AskEvery(controlVMs)
+var askEvery = slots.AskInterval(controlVMs)
 
 // advance moves time by one interval, renews all leases, and lets each server announce another load from time to time.
 func (e *exchange) advance() {
--- a/pkg/slots/requests.go
+++ b/pkg/slots/requests.go
@@ -30,8 +30,8 @@
 	maxAskInterval = 950 * time.Millisecond
 )
 
-// AskEvery returns the regular interval between two requests to the same grantor, for the given number of grantors.
-func AskEvery(grantors int) time.Duration { return scaledInterval(grant.Renew, grantors) }
+// AskInterval returns the regular interval between two requests to the same grantor, for the given number of grantors.
+func AskInterval(grantors int) time.Duration { return scaledInterval(grant.Renew, grantors) }
 
 // scaledInterval lengthens an interval when there are more than maxUnscaledGrantors grantors.
 func scaledInterval(d time.Duration, grantors int) time.Duration {
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -190,10 +190,10 @@
 // TestManyGrantorsAreAskedLessOften uses the number of grantors that the system is designed for. Calls must not be
 // delayed although each grantor is asked only about once a second.
 func TestManyGrantorsAreAskedLessOften(t *testing.T) {
-	require.Equal(t, grant.Renew, slots.AskEvery(3))
+	require.Equal(t, grant.Renew, slots.AskInterval(3))
 	const grantors = 22
-	require.LessOrEqual(t, slots.AskEvery(grantors), grant.TTL*2/3, "too little of a grant's lifetime is left for the response")
-	require.Greater(t, slots.AskEvery(grantors), grant.Renew)
+	require.LessOrEqual(t, slots.AskInterval(grantors), grant.TTL*2/3, "too little of a grant's lifetime is left for the response")
+	require.Greater(t, slots.AskInterval(grantors), grant.Renew)
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, grantors, 2, 66)
 		warm := c.runWorkers(12, 20*time.Millisecond)
