--- a/pkg/grantservice/handover.go
+++ b/pkg/grantservice/handover.go
@@ -107,6 +107,7 @@
 	wg.Wait()
 }
 
+// requestShards requests shards from one VM and imports the states that it yields.
 func (s *Service) requestShards(ctx context.Context, vm string, shards []uint32) {
 	address := s.address(vm)
 	if address == "" {
@@ -161,6 +162,7 @@
 	wg.Wait()
 }
 
+// recallFrom requests the states of released shards from one VM and imports them.
 func (s *Service) recallFrom(ctx context.Context, vm string, shards []*daisyhatchv1.ShardFence) {
 	address := s.address(vm)
 	if address == "" {
--- a/pkg/grantservice/lease_renewal.go
+++ b/pkg/grantservice/lease_renewal.go
@@ -87,6 +87,7 @@
 	return nil
 }
 
+// commands returns one lease command per shard; release says for each whether to release or to acquire the lease.
 func (s *Service) commands(shards []uint32, release []bool) []*daisyhatchv1.LeaseCommand {
 	out := make([]*daisyhatchv1.LeaseCommand, len(shards))
 	for i, shard := range shards {
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -70,6 +70,7 @@
 	return result(l, c), nil
 }
 
+// acquire makes the sender of the command the holder, under a new fence.
 func (t *Table) acquire(l *daisyhatchv1.Lease, c *daisyhatchv1.LeaseCommand) {
 	l.Holder = c.GetHolder()
 	l.Incarnation = c.GetIncarnation()
@@ -104,6 +105,7 @@
 	}
 }
 
+// validate returns ErrCommand unless the names and the TTL are within the limits.
 func validate(c *daisyhatchv1.LeaseCommand) error {
 	for _, s := range []string{c.GetName(), c.GetHolder(), c.GetIncarnation()} {
 		if s == "" || len(s) > MaxNameBytes {
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -95,6 +95,7 @@
 	})
 }
 
+// newCommand returns a command by which a contender tries to acquire or renew the lease.
 func newCommand(c *contender, now time.Time) inFlightCommand {
 	return inFlightCommand{from: c, asked: now, cmd: &daisyhatchv1.LeaseCommand{
 		Name: "l", Holder: c.name, Incarnation: "1", TtlMs: ttl.Milliseconds(), ObservedRenewal: c.observed,
--- a/pkg/slots/bench_test.go
+++ b/pkg/slots/bench_test.go
@@ -46,15 +46,15 @@
 // BenchmarkDecision measures admission, routing and the grant check of one call, with 21,000 organisations known.
 func BenchmarkDecision(b *testing.B) {
 	names := make([]string, 21_000)
-	organisations := make(map[string]int, len(names))
+	weights := make(map[string]int, len(names))
 	for i := range names {
 		names[i] = fmt.Sprint("organisation-", i)
-		organisations[names[i]] = 1 + i%10
+		weights[names[i]] = 1 + i%10
 	}
 	for _, held := range []int{12, 24, 48} {
 		b.Run(fmt.Sprint("servers-held-", held), func(b *testing.B) {
 			s := newSlotsHolding(b, held)
-			s.opts.Weight = func(o string) int { return organisations[o] }
+			s.opts.Weight = func(o string) int { return weights[o] }
 			set := &config.Set{
 				Stages:    map[string]*config.Stage{"g": {Name: "g", Pool: "gen"}},
 				Pipelines: map[string]*config.Pipeline{"p": {Steps: [][]string{{"g"}, {"g"}, {"g"}}}},
--- a/pkg/slots/cluster_test.go
+++ b/pkg/slots/cluster_test.go
@@ -139,9 +139,9 @@
 	return c
 }
 
-// testSet returns a configuration with one pool and three failure domains, of which the one named out is taken out of
+// testSet returns a configuration with one pool and three failure domains, of which the one named takenOut is out of
 // service; "" takes out none.
-func testSet(out string) *config.Set {
+func testSet(takenOut string) *config.Set {
 	set := &config.Set{
 		FailureDomains: make(map[string]*config.FailureDomain),
 		Pools: map[string]*config.Pool{
@@ -149,7 +149,7 @@
 		},
 	}
 	for _, name := range []string{"a", "b", "c"} {
-		set.FailureDomains[name] = &config.FailureDomain{Name: name, Out: name == out}
+		set.FailureDomains[name] = &config.FailureDomain{Name: name, Out: name == takenOut}
 	}
 	return set
 }
--- a/pkg/slots/hold_stats.go
+++ b/pkg/slots/hold_stats.go
@@ -43,6 +43,7 @@
 	byOrganisation map[string]int
 }
 
+// begin counts a call as queued or in flight until end is called.
 func (l *stageLoad) begin(organisation string) {
 	l.calls++
 	l.byOrganisation[organisation]++
--- a/pkg/slots/pool.go
+++ b/pkg/slots/pool.go
@@ -99,6 +99,7 @@
 	return now.Add(stats.upperEstimate()).After(r.Deadline)
 }
 
+// queueFor returns the queue for a call: aloneQueue for one that needs a server to itself, otherwise queue.
 func (p *pool) queueFor(r *dispatch.SlotRequest) *admission.Queue[*waiter] {
 	if r.Alone {
 		return p.aloneQueue
@@ -154,6 +155,7 @@
 	return found
 }
 
+// addCandidate adds a server to p.held and p.candidates.
 func (p *pool) addCandidate(g *grant.Held) {
 	p.held = append(p.held, g)
 	p.candidates = append(p.candidates, routing.Candidate{
@@ -173,6 +175,7 @@
 	return r.Role == "" || a.Role == "" || a.Role == r.Role
 }
 
+// target converts an announcement to the address and properties that a call needs.
 func target(a *daisyhatchv1.Announcement) engine.Target {
 	return engine.Target{
 		Server:        a.Server,
--- a/pkg/slots/requests.go
+++ b/pkg/slots/requests.go
@@ -16,7 +16,7 @@
 
 // Timing of requests to grantors.
 const (
-	// askTimeout bounds one request to a grantor.
+	// askTimeout bounds one call to a grantor.
 	askTimeout = time.Second
 	// askIntervalWaiting is the interval between requests while calls are queued.
 	askIntervalWaiting = 100 * time.Millisecond
@@ -66,6 +66,7 @@
 	return nil
 }
 
+// releaseAll releases everything that this VM holds of the grantor at address.
 func (s *Slots) releaseAll(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
--- a/pkg/slots/slot.go
+++ b/pkg/slots/slot.go
@@ -19,10 +19,11 @@
 	// stage and organisation are those of the call that holds the slot.
 	stage        string
 	organisation string
-	cold         bool
-	alone        bool
-	ended        bool
-	startedAt    time.Time
+	// cold is true while the server is ramping up; alone is true when the call needs a server to itself.
+	cold      bool
+	alone     bool
+	ended     bool
+	startedAt time.Time
 }
 
 // Target implements dispatch.Slot.
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -57,6 +57,7 @@
 	// want more units than there are.
 	contendedUntil time.Time
 
+	// wakeup makes run ask the grantors before the next regular interval.
 	wakeup chan struct{}
 	cancel context.CancelFunc
 	done   sync.WaitGroup
@@ -64,7 +65,7 @@
 
 var _ dispatch.Slots = (*Slots)(nil)
 
-// waiter is a queued call that waits for a slot.
+// waiter is a call in the queue.
 type waiter struct {
 	request dispatch.SlotRequest
 	ready   chan struct{}
@@ -125,6 +126,8 @@
 	return s.awaitSlot(ctx, p, q, it)
 }
 
+// refusal returns the error for a call that gets no slot. The time after which the caller may retry is half the predicted
+// wait, within minRetryAfter and maxRetryAfter.
 func refusal(pool, why string, wait time.Duration) *apierr.Error {
 	return apierr.New(http.StatusServiceUnavailable, apierr.NoCapacity, "the queue for pool %s %s", pool, why).
 		After(min(max(wait/2, minRetryAfter), maxRetryAfter))
@@ -154,7 +157,7 @@
 		s.removeWaiter(p, q, it)
 	}
 	wait, _ := p.predictWait(s.holder, w.request.Organisation, s.weight(w.request.Organisation), upcoming{}, time.Now())
-	return nil, refusal(p.name, "gave no slot before the deadline", wait).Wrap(ctx.Err())
+	return nil, refusal(p.name, "gave no slot in time", wait).Wrap(ctx.Err())
 }
 
 // removeWaiter takes a call out of the queue.
@@ -163,6 +166,7 @@
 	p.stage(it.Value.request.Stage).end(it.Value.request.Organisation)
 }
 
+// weight returns an organisation's weight in the fair queue.
 func (s *Slots) weight(organisation string) int {
 	if s.opts.Weight == nil {
 		return 1
@@ -170,6 +174,7 @@
 	return s.opts.Weight(organisation)
 }
 
+// pool returns the pool of the given name and creates it if needed.
 func (s *Slots) pool(name string) *pool {
 	p := s.pools[name]
 	if p == nil {
