--- a/pkg/stagecall/alone_test.go
+++ b/pkg/stagecall/alone_test.go
@@ -18,26 +18,26 @@
 		for _, n := range []int{3, 42} {
 			admitted := 0
 			for vm := range vms {
-				var p Pace
+				var p Limiter
 				for at := time.Duration(0); at < span; at += 50 * time.Millisecond {
-					if p.Take(AloneRate(batch, n, vms), (float64(vm)+0.5)/float64(vms), begin.Add(at)) {
+					if p.Allow(AloneRate(batch, n, vms), (float64(vm)+0.5)/float64(vms), epoch.Add(at)) {
 						admitted++
 					}
 				}
 			}
-			places := float64(n*batch.Slots) * span.Seconds() / batch.CallTime(1).Seconds()
-			require.LessOrEqual(t, float64(admitted), places+float64(vms)/2+float64(n), "%d VMs, %d servers", vms, n)
-			require.Greater(t, float64(admitted), places/2, "%d VMs, %d servers", vms, n)
+			capacity := float64(n*batch.Slots) * span.Seconds() / batch.CallTime(1).Seconds()
+			require.LessOrEqual(t, float64(admitted), capacity+float64(vms)/2+float64(n), "%d VMs, %d servers", vms, n)
+			require.Greater(t, float64(admitted), capacity/2, "%d VMs, %d servers", vms, n)
 		}
 	}
 	require.Zero(t, AloneRate(batch, 42, 0), "the other VMs are not known")
 }
 
 func TestPaceBeginsAnewAfterALongTime(t *testing.T) {
-	var p Pace
-	require.True(t, p.Take(1, 0.9, begin))
-	require.False(t, p.Take(0, 0.9, begin.Add(time.Second)))
-	require.True(t, p.Take(0, 0.9, begin.Add(time.Second+aloneForgotten+1)))
+	var p Limiter
+	require.True(t, p.Allow(1, 0.9, epoch))
+	require.False(t, p.Allow(0, 0.9, epoch.Add(time.Second)))
+	require.True(t, p.Allow(0, 0.9, epoch.Add(time.Second+standaloneReset+1)))
 }
 
 // Replays the first calls of 295 VMs that lost all control VMs at once: their first choices spread over the servers.
@@ -47,12 +47,12 @@
 		v := servers(42)
 		SpreadFor(fmt.Sprint("entry-", vm), v)
 		s := NewScheduler(batch)
-		s.Arrive(job("j", 1, 0, time.Second, 5*time.Second), begin)
-		s.Unasked(v, begin)
+		s.Arrive(job("j", 1, 0, time.Second, 5*time.Second), epoch)
+		s.RoomQueries(v, epoch)
 		for _, x := range v {
-			s.Learned(x.ID, dialect.Room{Least: batch.ResultBytes, Most: batch.ResultBytes}, begin)
+			s.SetRoom(x.ID, dialect.Room{Least: batch.ResultBytes, Most: batch.ResultBytes}, epoch)
 		}
-		c, ok := s.Next(v, begin)
+		c, ok := s.Next(v, epoch)
 		require.True(t, ok)
 		first[c.Server.ID]++
 	}
--- a/pkg/stagecall/giveup.go
+++ b/pkg/stagecall/giveup.go
@@ -19,60 +19,60 @@
 		if address == "" {
 			continue
 		}
-		f := r.free[address]
+		f := r.pendingFrees[address]
 		if f == nil {
-			f = &freed{since: now}
-			r.free[address] = f
+			f = &pendingFree{since: now}
+			r.pendingFrees[address] = f
 		}
 		if !slices.Contains(f.handles, h) {
 			f.handles = append(f.handles, h)
 		}
 	}
-	r.armFlush()
+	r.scheduleFlush()
 }
 
-// armFlush sees to the next flush; r.mu is held.
-func (r *Runner) armFlush() {
-	if r.timer == nil && len(r.free) > 0 {
-		r.timer = time.AfterFunc(freeInterval, r.flush)
+// scheduleFlush sees to the next flush; r.mu is held.
+func (r *Runner) scheduleFlush() {
+	if r.flushTimer == nil && len(r.pendingFrees) > 0 {
+		r.flushTimer = time.AfterFunc(freeInterval, r.flush)
 	}
 }
 
 func (r *Runner) flush() {
 	now := time.Now()
 	r.mu.Lock()
-	all := r.free
-	r.free = make(map[string]*freed)
+	pending := r.pendingFrees
+	r.pendingFrees = make(map[string]*pendingFree)
 	pools := make([]*pool, 0, len(r.pools))
 	for _, p := range r.pools {
 		pools = append(pools, p)
 	}
 	r.mu.Unlock()
 	// Pools are locked before the Runner, so that they are asked without its lock.
-	for address, f := range all {
-		if now.Sub(f.since) >= freeRoomy || !roomyAt(pools, address) {
+	for address, f := range pending {
+		if now.Sub(f.since) >= freeIntervalAmple || !hasAmpleRoomAt(pools, address) {
 			go r.sendFree(address, f.handles, pools)
-			delete(all, address)
+			delete(pending, address)
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.timer = nil
-	for address, f := range all {
-		if newer := r.free[address]; newer != nil {
+	r.flushTimer = nil
+	for address, f := range pending {
+		if newer := r.pendingFrees[address]; newer != nil {
 			f.handles = append(f.handles, newer.handles...)
 		}
-		r.free[address] = f
+		r.pendingFrees[address] = f
 	}
-	r.armFlush()
+	r.scheduleFlush()
 }
 
-// roomyAt reports whether the server at an address is known to have room enough for the next calls.
-func roomyAt(pools []*pool, address string) bool {
+// hasAmpleRoomAt reports whether the server at an address is known to have room enough for the next calls.
+func hasAmpleRoomAt(pools []*pool, address string) bool {
 	for _, p := range pools {
 		p.mu.Lock()
-		id, ok := p.makers[address]
-		roomy := ok && p.sched.Roomy(id)
+		id, ok := p.serverIDs[address]
+		roomy := ok && p.sched.HasAmpleRoom(id)
 		p.mu.Unlock()
 		if ok {
 			return roomy
@@ -88,7 +88,7 @@
 		return
 	}
 	v, known := r.opts.View.ServerAt(address)
-	if err := r.mayAsk(v); known && err != nil {
+	if err := r.checkOpen(v); known && err != nil {
 		// It drops them by itself after a time.
 		r.opts.Log.Info("results not given up", "server_address", address, "count", len(handles), "reason", err.Error())
 		return
@@ -104,14 +104,14 @@
 		return
 	}
 	if known {
-		r.noticed(v, r.opts.Dialect.Answer(a.Status, a.Header).Notice)
+		r.applyNotice(v, r.opts.Dialect.Answer(a.Status, a.Header).Notice)
 	}
 	// The body says nothing; what can't be read drops the connection.
-	_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxAnswer))
+	_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxResponseBytes))
 	_ = a.Body.Close()
 	for _, p := range pools {
 		p.mu.Lock()
-		if id, ok := p.makers[address]; ok {
+		if id, ok := p.serverIDs[address]; ok {
 			p.sched.Freed(id, handles)
 		}
 		p.mu.Unlock()
--- a/pkg/stagecall/queue.go
+++ b/pkg/stagecall/queue.go
@@ -8,25 +8,25 @@
 
 // Add queues a job again.
 func (s *Scheduler) Add(j *Job, now time.Time) {
-	s.judge(j, now)
+	s.updateLate(j, now)
 	s.insert(j)
 }
 
-// judge notes whether a job can still meet its target.
-func (s *Scheduler) judge(j *Job, now time.Time) {
-	j.late = !s.onTime(j, now)
-	if late := s.lateAt(j); !j.late && late.Before(s.nextLate) {
-		s.nextLate = late
+// updateLate notes whether a job can still meet its target.
+func (s *Scheduler) updateLate(j *Job, now time.Time) {
+	j.late = !s.canMeetTarget(j, now)
+	if late := s.latestStart(j); !j.late && late.Before(s.nextLateAt) {
+		s.nextLateAt = late
 	}
 }
 
 // insert puts a job in its place, behind its equals.
-func (s *Scheduler) insert(j *Job) { s.jobs = slices.Insert(s.jobs, s.place(j), j) }
+func (s *Scheduler) insert(j *Job) { s.jobs = slices.Insert(s.jobs, s.position(j), j) }
 
-// place returns how many jobs go before a job that has been judged.
-func (s *Scheduler) place(j *Job) int {
+// position returns how many jobs go before a job that has been judged.
+func (s *Scheduler) position(j *Job) int {
 	i, _ := slices.BinarySearchFunc(s.jobs, j, func(a, b *Job) int {
-		if compare(a, b) <= 0 {
+		if compareJobs(a, b) <= 0 {
 			return -1
 		}
 		return 1
@@ -34,19 +34,21 @@
 	return i
 }
 
-// urgentAt orders jobs that can meet their targets: by target, and a step of priority counts as priorityStep.
-func (j *Job) urgentAt() time.Time { return j.Target.Add(time.Duration(j.Priority) * priorityStep) }
+// effectiveTarget orders jobs that can meet their targets: by target, and a step of priority counts as priorityStep.
+func (j *Job) effectiveTarget() time.Time {
+	return j.Target.Add(time.Duration(j.Priority) * priorityStep)
+}
 
-// order moves the jobs that have become late behind those that are on time.
-func (s *Scheduler) order(now time.Time) {
-	if now.Before(s.nextLate) {
+// demoteLate moves the jobs that have become late behind those that are on time.
+func (s *Scheduler) demoteLate(now time.Time) {
+	if now.Before(s.nextLateAt) {
 		return
 	}
-	s.nextLate = now.Add(time.Hour)
+	s.nextLateAt = now.Add(time.Hour)
 	var late []*Job
 	s.jobs = slices.DeleteFunc(s.jobs, func(j *Job) bool {
 		if !j.late {
-			s.judge(j, now)
+			s.updateLate(j, now)
 			if j.late {
 				late = append(late, j)
 			}
@@ -59,22 +61,24 @@
 	}
 }
 
-// onTime reports whether a job that is begun now in a full call meets its target.
-func (s *Scheduler) onTime(j *Job, now time.Time) bool { return !now.After(s.lateAt(j)) }
+// canMeetTarget reports whether a job that is begun now in a full call meets its target.
+func (s *Scheduler) canMeetTarget(j *Job, now time.Time) bool { return !now.After(s.latestStart(j)) }
 
-// lateAt is until when a job that is begun in a full call meets its target.
-func (s *Scheduler) lateAt(j *Job) time.Time { return j.Target.Add(-s.batch.CallTime(s.batch.Size)) }
+// latestStart is until when a job that is begun in a full call meets its target.
+func (s *Scheduler) latestStart(j *Job) time.Time {
+	return j.Target.Add(-s.batch.CallTime(s.batch.Size))
+}
 
-// compare orders two jobs: those that can still meet their target by it, then the late ones by priority and deadline. So
+// compareJobs orders two jobs: those that can still meet their target by it, then the late ones by priority and deadline. So
 // a backlog that is late already doesn't make what comes after it late as well.
-func compare(a, b *Job) int {
+func compareJobs(a, b *Job) int {
 	switch {
 	case a.late != b.late && b.late:
 		return -1
 	case a.late != b.late:
 		return 1
 	case !a.late:
-		return cmp.Or(a.urgentAt().Compare(b.urgentAt()), a.Arrived.Compare(b.Arrived))
+		return cmp.Or(a.effectiveTarget().Compare(b.effectiveTarget()), a.Arrived.Compare(b.Arrived))
 	}
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), a.Deadline.Compare(b.Deadline), a.Arrived.Compare(b.Arrived))
 }
--- a/pkg/stagecall/room.go
+++ b/pkg/stagecall/room.go
@@ -10,80 +10,80 @@
 // holds how much of it. A VM that takes a service's calls over asks the servers first: they would work on calls whose
 // results they have no room for.
 const (
-	// roomStale is how long after its last call a server's room counts as known: another VM may have used it since.
-	roomStale = 2 * time.Second
-	// roomPatience is how long a server is left alone until it answers; it lies milliseconds away.
-	roomPatience = 300 * time.Millisecond
-	// roomDoubt is how long a server that had no room may have none again: results of calls that another VM made last for
+	// roomKnownFor is how long after its last call a server's room counts as known: another VM may have used it since.
+	roomKnownFor = 2 * time.Second
+	// roomQueryTimeout is how long a server is left alone until it answers; it lies milliseconds away.
+	roomQueryTimeout = 300 * time.Millisecond
+	// roomUncertainFor is how long a server that had no room may have none again: results of calls that another VM made last for
 	// seconds.
-	roomDoubt = 2 * time.Second
+	roomUncertainFor = 2 * time.Second
 	// foreignInterval is how often a server is asked while it holds results of other VMs' calls: about a call's time.
 	foreignInterval = 400 * time.Millisecond
 )
 
-// Unasked returns the servers that must be asked for their room now, and notes that they are asked.
-func (s *Scheduler) Unasked(servers []Server, now time.Time) []Server {
+// RoomQueries returns the servers that must be asked for their room now, and notes that they are asked.
+func (s *Scheduler) RoomQueries(servers []Server, now time.Time) []Server {
 	if len(s.jobs) == 0 {
 		return nil
 	}
 	var out []Server
 	for _, v := range servers {
 		st := s.state(v.ID)
-		if !st.usable(v, now) || now.Sub(st.asked) < roomPatience {
+		if !st.usable(v, now) || now.Sub(st.roomQueriedAt) < roomQueryTimeout {
 			continue
 		}
-		if st.roomKnown(now) && (st.foreign == 0 || now.Sub(st.learned) < foreignInterval) {
+		if st.roomKnown(now) && (st.foreignBytes == 0 || now.Sub(st.roomReportedAt) < foreignInterval) {
 			continue
 		}
-		st.asked = now
+		st.roomQueriedAt = now
 		out = append(out, v)
 	}
 	return out
 }
 
-// Learned takes over what a server says of its free room. It returns the bytes that results of other VMs' calls take
+// SetRoom takes over what a server says of its free room. It returns the bytes that results of other VMs' calls take
 // there: at least.
-func (s *Scheduler) Learned(server string, free dialect.Room, now time.Time) int64 {
+func (s *Scheduler) SetRoom(server string, free dialect.Room, now time.Time) int64 {
 	st := s.state(server)
-	st.forget(now, s.batch.ResultTTL)
-	st.foreign = max(0, s.batch.ResultBytes-free.Most-st.held)
-	st.learned, st.used, st.asked = now, now, time.Time{}
+	st.expireResults(now, s.batch.ResultTTL)
+	st.foreignBytes = max(0, s.batch.ResultBytes-free.Most-st.reservedBytes)
+	st.roomReportedAt, st.roomKnownAt, st.roomQueriedAt = now, now, time.Time{}
 	if free.Least > 0 {
-		st.roomless = time.Time{}
+		st.fullUntil = time.Time{}
 	}
-	return st.foreign
+	return st.foreignBytes
 }
 
-// full notes that a server had no room for a result. It is asked again.
-func (st *serverState) full(now time.Time) {
-	st.roomless = now.Add(roomlessFor)
-	st.used = time.Time{}
+// markFull notes that a server had no room for a result. It is asked again.
+func (st *serverState) markFull(now time.Time) {
+	st.fullUntil = now.Add(fullFor)
+	st.roomKnownAt = time.Time{}
 }
 
 // roomKnown reports whether this VM made the latest calls to the server, or has asked it since.
 func (st *serverState) roomKnown(now time.Time) bool {
-	return st.busy > 0 || now.Sub(st.used) < roomStale
+	return st.busy > 0 || now.Sub(st.roomKnownAt) < roomKnownFor
 }
 
-// asking reports whether a server's answer must be waited for before it gets a call.
-func (st *serverState) asking(now time.Time) bool {
-	return !st.roomKnown(now) && now.Sub(st.asked) < roomPatience
+// awaitingRoom reports whether a server's answer must be waited for before it gets a call.
+func (st *serverState) awaitingRoom(now time.Time) bool {
+	return !st.roomKnown(now) && now.Sub(st.roomQueriedAt) < roomQueryTimeout
 }
 
-// room returns the bytes that new results may take at a server.
-func (s *Scheduler) room(st *serverState) int64 {
-	return int64(float64(s.batch.ResultBytes)*roomMargin) - st.held - st.foreign
+// freeBytes returns the bytes that new results may take at a server.
+func (s *Scheduler) freeBytes(st *serverState) int64 {
+	return int64(float64(s.batch.ResultBytes)*usableRoomShare) - st.reservedBytes - st.foreignBytes
 }
 
-// Roomy reports whether a server has room for two usual calls.
-func (s *Scheduler) Roomy(server string) bool {
+// HasAmpleRoom reports whether a server has room for two usual calls.
+func (s *Scheduler) HasAmpleRoom(server string) bool {
 	st := s.servers[server]
-	return st != nil && s.room(st) >= int64(2*s.usualBytes)
+	return st != nil && s.freeBytes(st) >= int64(2*s.avgCallBytes)
 }
 
-// RoomCertain reports whether a server is known to have the room that its calls need: it holds no results of other VMs'
+// CertainOfRoom reports whether a server is known to have the room that its calls need: it holds no results of other VMs'
 // calls, and had room lately.
-func (s *Scheduler) RoomCertain(server string, now time.Time) bool {
+func (s *Scheduler) CertainOfRoom(server string, now time.Time) bool {
 	st := s.servers[server]
-	return st == nil || st.foreign == 0 && now.Sub(st.roomless) > roomDoubt
+	return st == nil || st.foreignBytes == 0 && now.Sub(st.fullUntil) > roomUncertainFor
 }
--- a/pkg/stagecall/runner.go
+++ b/pkg/stagecall/runner.go
@@ -24,14 +24,14 @@
 var ErrUnknownService = errors.New("stagecall: service is not known here")
 
 const (
-	// maxTries is how many servers a piece is sent to.
-	maxTries = 3
-	// callSlack and callFactor bound a call against what it should take; a slow server's call is waited for, a silent
+	// maxAttempts is how many servers a piece is sent to.
+	maxAttempts = 3
+	// callSlack and callTimeoutFactor bound a call against what it should take; a slow server's call is waited for, a silent
 	// one's is given up.
-	callFactor = 5
-	callSlack  = 500 * time.Millisecond
-	// maxAnswer bounds the answer to a call in bytes.
-	maxAnswer = 1 << 20
+	callTimeoutFactor = 5
+	callTimeoutSlack  = 500 * time.Millisecond
+	// maxResponseBytes bounds the answer to a call in bytes.
+	maxResponseBytes = 1 << 20
 	// retryShare and retryReserve bound the pieces sent again, against those sent first, well below what a service may
 	// get from all VMs.
 	retryShare   = 0.1
@@ -41,8 +41,8 @@
 	inputReadTime = 100 * time.Millisecond
 	// freeInterval is how long results that were given up are gathered for one call to a server whose room is scarce,
 	// freeRoomy at one that has room enough.
-	freeInterval = 30 * time.Millisecond
-	freeRoomy    = 150 * time.Millisecond
+	freeInterval      = 30 * time.Millisecond
+	freeIntervalAmple = 150 * time.Millisecond
 	// freeTimeout bounds such a call; a result that stays is released by its server after a time.
 	freeTimeout = time.Second
 )
@@ -83,14 +83,14 @@
 	opts     Options
 	liveness *liveness.Checker
 
-	mu    sync.Mutex
-	pools map[string]*pool
-	free  map[string]*freed
-	timer *time.Timer
+	mu           sync.Mutex
+	pools        map[string]*pool
+	pendingFrees map[string]*pendingFree
+	flushTimer   *time.Timer
 }
 
-// freed are results at one server that were given up and that it has not been told of.
-type freed struct {
+// pendingFree are results at one server that were given up and that it has not been told of.
+type pendingFree struct {
 	handles []string
 	since   time.Time
 }
@@ -100,8 +100,8 @@
 	if o.Suspects == nil {
 		o.Suspects = quarantine.NewTracker(quarantine.TrackerOptions{Log: o.Log})
 	}
-	look := liveness.New(o.Asides, func(id string) (directory.Server, bool) { return o.View.Server(id) })
-	return &Runner{opts: o, liveness: look, pools: make(map[string]*pool), free: make(map[string]*freed)}
+	checker := liveness.New(o.Asides, func(id string) (directory.Server, bool) { return o.View.Server(id) })
+	return &Runner{opts: o, liveness: checker, pools: make(map[string]*pool), pendingFrees: make(map[string]*pendingFree)}
 }
 
 func (r *Runner) pool(service string) (*pool, error) {
@@ -116,7 +116,7 @@
 	if p == nil {
 		p = &pool{
 			runner: r, service: service, sched: NewScheduler(b), budget: retry.NewBudget(retryShare, retryReserve),
-			makers: make(map[string]string),
+			serverIDs: make(map[string]string),
 		}
 		r.pools[service] = p
 	}
@@ -142,17 +142,17 @@
 		return &daisyhatchv1.StageRunResponse{Refused: true, RetryAfterMs: left.Milliseconds(), Reason: reasonSuspect}, nil
 	}
 	now := time.Now()
-	w := &waiter{job: newJob(q, now), left: len(q.GetPieces()), done: make(chan struct{}), inputsRead: inputsRead}
+	w := &waiter{job: newJob(q, now), pending: len(q.GetPieces()), done: make(chan struct{}), inputsRead: inputsRead}
 	if q.GetReleaseInputs() {
 		w.inputsRead = sync.OnceFunc(func() { r.release(inputsOf(q)) })
 	}
-	w.unread = w.left
-	w.results = make([]dialect.PieceResult, w.left)
-	w.domains = make([]string, w.left)
-	if w.left == 0 {
+	w.unreadPieces = w.pending
+	w.results = make([]dialect.PieceResult, w.pending)
+	w.domains = make([]string, w.pending)
+	if w.pending == 0 {
 		return &daisyhatchv1.StageRunResponse{}, nil
 	}
-	if wait, ok := p.add(w, now); !ok {
+	if wait, ok := p.enqueue(w, now); !ok {
 		r.opts.Log.Info("stage refused", "request", q.GetRequest(), "service", q.GetService(), "wait_ms", wait.Milliseconds(),
 			"remaining_ms", q.GetRemainingMs())
 		return &daisyhatchv1.StageRunResponse{Refused: true, RetryAfterMs: wait.Milliseconds()}, nil
@@ -160,10 +160,10 @@
 	select {
 	case <-w.done:
 	case <-ctx.Done():
-		r.Free(p.drop(w))
+		r.Free(p.cancel(w))
 		return nil, ctx.Err()
 	}
-	if q.GetReleaseInputs() && w.made() {
+	if q.GetReleaseInputs() && w.complete() {
 		w.inputsRead()
 	}
 	res := &daisyhatchv1.StageRunResponse{}
--- a/pkg/stagecall/scheduler.go
+++ b/pkg/stagecall/scheduler.go
@@ -19,8 +19,8 @@
 	Fingerprint uint64
 	Stage       int
 	Key         string
-	// Alone is true once several servers ended under the request: it shares no call with others.
-	Alone bool
+	// Isolated is true once several servers ended under the request: it shares no call with others.
+	Isolated bool
 	// NotBefore is when its pieces may go out again after a server ended under them.
 	NotBefore time.Time
 	// Pieces are those still to be run.
@@ -37,7 +37,7 @@
 	// Arrived orders jobs with the same target.
 	Arrived time.Time
 
-	owner *waiter
+	waiter *waiter
 	// late is true when the job can't meet its target any more; the scheduler keeps it.
 	late bool
 }
@@ -70,8 +70,8 @@
 	Expected time.Duration
 	// inputsRead is true once the pieces were worked on for inputReadTime. The pool's lock guards it.
 	inputsRead bool
-	// ended is true when the server ended under the call.
-	ended bool
+	// serverEnded is true when the server serverEnded under the call.
+	serverEnded bool
 }
 
 // CallPart is the pieces of one job within a call.
@@ -93,54 +93,54 @@
 const (
 	// slowRatio is how much slower than usual a server may be before it is left out while others are enough.
 	slowRatio = 2.0
-	// smoothing is the weight of the newest call in a server's average.
-	smoothing = 0.4
-	// filledSmoothing is the weight of the newest full call.
-	filledSmoothing = 0.1
-	// avoidFirst and avoidMost are how long a server that failed a call is avoided: doubled with each failure in a row.
-	avoidFirst = 500 * time.Millisecond
-	avoidMost  = 4 * time.Second
-	// trustFor is how long an answer shows that a server lives that the control VMs don't hear.
-	trustFor = 3 * time.Second
-	// roomlessFor is how long a server that has no room is left alone unless it says that it has some: results are given
+	// durationSmoothing is the weight of the newest call in a server's average.
+	durationSmoothing = 0.4
+	// callSmoothing is the weight of the newest full call.
+	callSmoothing = 0.1
+	// minAvoid and avoidMost are how long a server that failed a call is avoided: doubled with each failure in a row.
+	minAvoid = 500 * time.Millisecond
+	maxAvoid = 4 * time.Second
+	// quietTrustFor is how long an answer shows that a server lives that the control VMs don't hear.
+	quietTrustFor = 3 * time.Second
+	// fullFor is how long a server that has no room is left alone unless it says that it has some: results are given
 	// up one by one, a call for each request that ends.
-	roomlessFor = 50 * time.Millisecond
-	// largeCrossing is the size from which it matters where a job is made: bytes that cross failure domains are priced, at
+	fullFor = 50 * time.Millisecond
+	// largeCrossingBytes is the size from which it matters where a job is made: bytes that cross failure domains are priced, at
 	// some hundredths of a usual request's worth from here on.
-	largeCrossing = 300_000
-	// remoteWait is how long a job that is on time waits for a server where it is wanted: about a call.
-	remoteWait = 400 * time.Millisecond
+	largeCrossingBytes = 300_000
+	// domainWait is how long a job that is on time waits for a server where it is wanted: about a call.
+	domainWait = 400 * time.Millisecond
 	// priorityStep is how much earlier a target a less urgent job needs to go before a more urgent one: half of a usual call.
 	priorityStep = 150 * time.Millisecond
-	// roomMargin is the share of a server's room that is used; sizes are approximate.
-	roomMargin = 0.9
+	// usableRoomShare is the share of a server's room that is used; sizes are approximate.
+	usableRoomShare = 0.9
 )
 
 // serverState is what is known of one server.
 type serverState struct {
 	busy int
-	// ratio is the time of its calls against the expected.
-	ratio    float64
-	failures int
-	avoided  time.Time
-	held     int64
-	results  map[string]result
-	// answered is when it last answered a call.
-	answered time.Time
-	// roomless is until when the server is taken to have no room, after it said so.
-	roomless time.Time
-	// foreign is the room in bytes that results of other VMs' calls took when the server told, at learned; used is when
+	// durationRatio is the time of its calls against the expected.
+	durationRatio float64
+	failures      int
+	avoidUntil    time.Time
+	reservedBytes int64
+	results       map[string]result
+	// answeredAt is when it last answeredAt a call.
+	answeredAt time.Time
+	// fullUntil is until when the server is taken to have no room, after it said so.
+	fullUntil time.Time
+	// foreignBytes is the room in bytes that results of other VMs' calls took when the server told, at learned; used is when
 	// it told or a call of this VM last began or ended there, asked when it was asked and has not answered.
-	foreign int64
-	learned time.Time
-	used    time.Time
-	asked   time.Time
+	foreignBytes   int64
+	roomReportedAt time.Time
+	roomKnownAt    time.Time
+	roomQueriedAt  time.Time
 }
 
 // result is one that a server made. It is remembered until it expires, also when it was given up.
 type result struct {
-	bytes int64
-	until time.Time
+	bytes     int64
+	expiresAt time.Time
 }
 
 // Scheduler decides for one service. It isn't safe for concurrent use.
@@ -148,16 +148,16 @@
 	batch catalog.Batch
 	// jobs are kept in the order of compare.
 	jobs []*Job
-	// nextLate is when the first of the jobs that are on time becomes late.
-	nextLate time.Time
-	servers  map[string]*serverState
-	// inflow are the pieces of the jobs that came within inflowWindow.
-	inflow []arrival
-	// filled is the average count of pieces of calls that left pieces waiting: below the size of a call where results take
+	// nextLateAt is when the first of the jobs that are on time becomes late.
+	nextLateAt time.Time
+	servers    map[string]*serverState
+	// arrivals are the pieces of the jobs that came within inflowWindow.
+	arrivals []arrival
+	// avgCallPieces is the average count of pieces of calls that left pieces waiting: below the size of a call where results take
 	// all room.
-	filled float64
-	// usualBytes is the average size of a call's results.
-	usualBytes float64
+	avgCallPieces float64
+	// avgCallBytes is the average size of a call's results.
+	avgCallBytes float64
 }
 
 type arrival struct {
@@ -167,19 +167,19 @@
 
 // NewScheduler returns a Scheduler for a service.
 func NewScheduler(b catalog.Batch) *Scheduler {
-	return &Scheduler{batch: b, servers: make(map[string]*serverState), filled: float64(b.Size)}
+	return &Scheduler{batch: b, servers: make(map[string]*serverState), avgCallPieces: float64(b.Size)}
 }
 
 // Configure takes over a changed configuration of the service.
 func (s *Scheduler) Configure(b catalog.Batch) {
 	if s.batch != b {
-		s.batch, s.nextLate = b, time.Time{}
+		s.batch, s.nextLateAt = b, time.Time{}
 	}
 }
 
 // Arrive queues a new job.
 func (s *Scheduler) Arrive(j *Job, now time.Time) {
-	s.inflow = append(s.inflow, arrival{now, len(j.Pieces)})
+	s.arrivals = append(s.arrivals, arrival{now, len(j.Pieces)})
 	s.Add(j, now)
 }
 
@@ -188,28 +188,28 @@
 	if len(s.jobs) == 0 {
 		return Call{}, false
 	}
-	s.order(now)
-	for _, v := range s.free(servers, now) {
+	s.demoteLate(now)
+	for _, v := range s.freeServers(servers, now) {
 		c := s.fill(v, now)
 		if len(c.Parts) == 0 {
 			continue
 		}
 		st := s.state(v.ID)
 		st.busy++
-		st.used = now
+		st.roomKnownAt = now
 		c.Begun = now
 		c.Expected = s.batch.CallTime(c.Count())
 		if len(s.jobs) > 0 {
-			s.filled += filledSmoothing * (float64(c.Count()) - s.filled)
+			s.avgCallPieces += callSmoothing * (float64(c.Count()) - s.avgCallPieces)
 		}
 		return c, true
 	}
 	return Call{}, false
 }
 
-// free returns the servers that may get a call now, the best one first. Slow ones are left out while the others are
+// freeServers returns the servers that may get a call now, the best one first. Slow ones are left out while the others are
 // enough for what waits.
-func (s *Scheduler) free(servers []Server, now time.Time) []Server {
+func (s *Scheduler) freeServers(servers []Server, now time.Time) []Server {
 	type ranked struct {
 		v    Server
 		cost float64
@@ -217,24 +217,24 @@
 	var list []ranked
 	good := 0
 	for _, v := range servers {
-		if st := s.state(v.ID); st.usable(v, now) && st.speed() < slowRatio {
+		if st := s.state(v.ID); st.usable(v, now) && st.slowness() < slowRatio {
 			good++
 		}
 	}
 	waiting := s.Waiting()
 	for _, v := range servers {
 		st := s.state(v.ID)
-		if st.busy >= s.batch.Slots || !st.usable(v, now) || st.asking(now) {
+		if st.busy >= s.batch.Slots || !st.usable(v, now) || st.awaitingRoom(now) {
 			continue
 		}
-		if st.speed() >= slowRatio && good > 0 && waiting <= good*s.batch.Size {
+		if st.slowness() >= slowRatio && good > 0 && waiting <= good*s.batch.Size {
 			continue
 		}
-		cost := st.speed()
+		cost := st.slowness()
 		if s.jobs[0].Domain != v.Domain {
 			cost += remoteCost
 		}
-		cost += float64(st.held) / float64(max(s.batch.ResultBytes, 1)) * roomCost
+		cost += float64(st.reservedBytes) / float64(max(s.batch.ResultBytes, 1)) * usedRoomCost
 		list = append(list, ranked{v, cost})
 	}
 	slices.SortStableFunc(list, func(a, b ranked) int { return cmp.Compare(a.cost, b.cost) })
@@ -249,8 +249,8 @@
 const (
 	// remoteCost is for a server in another failure domain than the most urgent job wants.
 	remoteCost = 0.15
-	// roomCost is for a server whose room is taken.
-	roomCost = 0.3
+	// usedRoomCost is for a server whose room is taken.
+	usedRoomCost = 0.3
 )
 
 // fill takes pieces out of the queue in order while they fit. Jobs with large results that are wanted elsewhere wait a
@@ -258,22 +258,22 @@
 func (s *Scheduler) fill(v Server, now time.Time) Call {
 	c := Call{Server: v}
 	st := s.state(v.ID)
-	st.forget(now, s.batch.ResultTTL)
+	st.expireResults(now, s.batch.ResultTTL)
 	left := s.batch.Size
-	before := s.room(st)
+	before := s.freeBytes(st)
 	room := before
 	kept := s.jobs[:0]
 	for _, j := range s.jobs {
 		n := 0
-		if s.mayRun(j, v, st, now) && c.mayHold(j) {
-			n = s.fits(j, left, room)
+		if s.mayRun(j, v, st, now) && c.accepts(j) {
+			n = s.fitting(j, left, room)
 		}
 		if n > 0 {
 			c.Parts = append(c.Parts, CallPart{Job: j, Pieces: j.Pieces[:n:n]})
 			j.Pieces = j.Pieces[n:]
 			left -= n
 			room -= int64(n) * j.ResultBytes
-			st.held += int64(n) * j.ResultBytes
+			st.reservedBytes += int64(n) * j.ResultBytes
 		}
 		if len(j.Pieces) > 0 {
 			kept = append(kept, j)
@@ -282,30 +282,30 @@
 	clear(s.jobs[len(kept):])
 	s.jobs = kept
 	if len(c.Parts) > 0 {
-		s.usualBytes += filledSmoothing * (float64(before-room) - s.usualBytes)
+		s.avgCallBytes += callSmoothing * (float64(before-room) - s.avgCallBytes)
 	}
 	return c
 }
 
-// mayHold reports whether a job may be added to a call.
-func (c *Call) mayHold(j *Job) bool {
-	return len(c.Parts) == 0 || !j.Alone && !c.Parts[0].Job.Alone
+// accepts reports whether a job may be added to a call.
+func (c *Call) accepts(j *Job) bool {
+	return len(c.Parts) == 0 || !j.Isolated && !c.Parts[0].Job.Isolated
 }
 
 // mayRun reports whether a job may go to a server now.
 func (s *Scheduler) mayRun(j *Job, v Server, st *serverState, now time.Time) bool {
-	if now.Before(st.roomless) || now.Before(j.NotBefore) {
+	if now.Before(st.fullUntil) || now.Before(j.NotBefore) {
 		return false
 	}
-	if j.CrossingBytes < largeCrossing {
+	if j.CrossingBytes < largeCrossingBytes {
 		return true
 	}
-	spare := s.onTime(j, now) && now.Sub(j.Arrived) < remoteWait
+	spare := s.canMeetTarget(j, now) && now.Sub(j.Arrived) < domainWait
 	return j.Domain == "" || j.Domain == v.Domain || !spare
 }
 
-// fits returns how many pieces of a job fit into a call. A job is split only when it is larger than a call.
-func (s *Scheduler) fits(j *Job, left int, room int64) int {
+// fitting returns how many pieces of a job fit into a call. A job is split only when it is larger than a call.
+func (s *Scheduler) fitting(j *Job, left int, room int64) int {
 	n := min(len(j.Pieces), left)
 	if j.ResultBytes > 0 {
 		n = min(n, int(max(room, 0)/j.ResultBytes))
@@ -332,7 +332,7 @@
 func (s *Scheduler) Done(c *Call, o Outcome, now time.Time) {
 	st := s.state(c.Server.ID)
 	st.busy--
-	st.used = now
+	st.roomKnownAt = now
 	for i, p := range c.Parts {
 		for k := range p.Pieces {
 			handle := ""
@@ -340,28 +340,28 @@
 				handle = o.Handles[i][k]
 			}
 			if handle == "" {
-				st.held -= p.Job.ResultBytes
+				st.reservedBytes -= p.Job.ResultBytes
 				continue
 			}
-			st.results[handle] = result{bytes: p.Job.ResultBytes, until: now.Add(s.batch.ResultTTL)}
+			st.results[handle] = result{bytes: p.Job.ResultBytes, expiresAt: now.Add(s.batch.ResultTTL)}
 		}
 	}
 	if o.Failed || o.Shed {
 		st.failures++
-		avoid := min(avoidFirst<<min(st.failures-1, 8), avoidMost)
-		st.avoided = now.Add(avoid)
+		avoid := min(minAvoid<<min(st.failures-1, 8), maxAvoid)
+		st.avoidUntil = now.Add(avoid)
 		return
 	}
 	st.failures = 0
-	st.answered = now
+	st.answeredAt = now
 	if o.NoRoom {
-		st.full(now)
+		st.markFull(now)
 	}
 	ratio := float64(now.Sub(c.Begun)) / float64(max(c.Expected, time.Millisecond))
-	if st.ratio == 0 {
-		st.ratio = 1
+	if st.durationRatio == 0 {
+		st.durationRatio = 1
 	}
-	st.ratio += smoothing * (ratio - st.ratio)
+	st.durationRatio += durationSmoothing * (ratio - st.durationRatio)
 }
 
 // Freed notes that results were given up.
@@ -369,15 +369,15 @@
 	st := s.state(server)
 	for _, h := range handles {
 		if r, ok := st.results[h]; ok {
-			st.held -= r.bytes
+			st.reservedBytes -= r.bytes
 			r.bytes = 0
 			st.results[h] = r
 		}
 	}
 }
 
-// Known reports whether a server made one of the results in an earlier call, within the time that results last.
-func (s *Scheduler) Known(server string, results []dialect.PieceResult) bool {
+// Repeated reports whether a server made one of the results in an earlier call, within the time that results last.
+func (s *Scheduler) Repeated(server string, results []dialect.PieceResult) bool {
 	st := s.state(server)
 	return slices.ContainsFunc(results, func(r dialect.PieceResult) bool {
 		_, ok := st.results[r.Handle]
@@ -395,9 +395,9 @@
 	}
 }
 
-// Wait returns when something may have changed without an event: a server that is avoided comes back. False when
+// NextCheck returns when something may have changed without an event: a server that is avoided comes back. False when
 // nothing will.
-func (s *Scheduler) Wait(now time.Time) (time.Duration, bool) {
+func (s *Scheduler) NextCheck(now time.Time) (time.Duration, bool) {
 	if len(s.jobs) == 0 {
 		return 0, false
 	}
@@ -408,8 +408,8 @@
 		}
 	}
 	for _, st := range s.servers {
-		if st.avoided.After(now) {
-			wait = min(wait, st.avoided.Sub(now))
+		if st.avoidUntil.After(now) {
+			wait = min(wait, st.avoidUntil.Sub(now))
 		}
 	}
 	return wait, true
@@ -428,24 +428,24 @@
 }
 
 func (st *serverState) usable(v Server, now time.Time) bool {
-	return !now.Before(st.avoided) && (!v.Quiet || now.Sub(st.answered) < trustFor)
+	return !now.Before(st.avoidUntil) && (!v.Quiet || now.Sub(st.answeredAt) < quietTrustFor)
 }
 
-func (st *serverState) speed() float64 {
-	if st.ratio == 0 {
+func (st *serverState) slowness() float64 {
+	if st.durationRatio == 0 {
 		return 1
 	}
-	return st.ratio
+	return st.durationRatio
 }
 
-// forget releases the room of results that have expired, those of other VMs' calls included; ttl is how long they last.
-func (st *serverState) forget(now time.Time, ttl time.Duration) {
-	if now.Sub(st.learned) > ttl {
-		st.foreign = 0
+// expireResults releases the room of results that have expired, those of other VMs' calls included; ttl is how long they last.
+func (st *serverState) expireResults(now time.Time, ttl time.Duration) {
+	if now.Sub(st.roomReportedAt) > ttl {
+		st.foreignBytes = 0
 	}
 	for h, r := range st.results {
-		if now.After(r.until) {
-			st.held -= r.bytes
+		if now.After(r.expiresAt) {
+			st.reservedBytes -= r.bytes
 			delete(st.results, h)
 		}
 	}
--- a/pkg/stagecall/scheduler_test.go
+++ b/pkg/stagecall/scheduler_test.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	begin = time.Unix(1000, 0)
+	epoch = time.Unix(1000, 0)
 	batch = catalog.Batch{
 		Slots: 1, Size: 8, PerCall: 200 * time.Millisecond, PerPiece: 21 * time.Millisecond, ResultBytes: 18_000_000,
 		ResultTTL: 4 * time.Second,
@@ -31,23 +31,23 @@
 }
 
 func job(name string, pieces int, at, target, deadline time.Duration) *Job {
-	j := &Job{Request: name, Arrived: begin.Add(at), Target: begin.Add(target), Deadline: begin.Add(deadline)}
+	j := &Job{Request: name, Arrived: epoch.Add(at), Target: epoch.Add(target), Deadline: epoch.Add(deadline)}
 	for i := range pieces {
 		j.Pieces = append(j.Pieces, Piece{Index: i})
 	}
 	return j
 }
 
-// load replays arrivals against servers that take exactly what a call should; it returns how many jobs met their target
+// simulation replays arrivals against servers that take exactly what a call should; it returns how many jobs met their target
 // and how many their deadline.
-type load struct {
-	sched   *Scheduler
-	servers []Server
-	ends    callEnds
-	onTime  int
-	done    int
-	calls   int
-	left    map[*Job]int
+type simulation struct {
+	sched       *Scheduler
+	servers     []Server
+	ends        callEnds
+	metTarget   int
+	metDeadline int
+	calls       int
+	unfinished  map[*Job]int
 }
 
 type callEnd struct {
@@ -68,7 +68,7 @@
 	return x
 }
 
-func (l *load) dispatch(now time.Time) {
+func (l *simulation) dispatch(now time.Time) {
 	l.sched.Hopeless(l.servers, now)
 	for {
 		c, ok := l.sched.Next(l.servers, now)
@@ -80,80 +80,80 @@
 	}
 }
 
-func (l *load) until(now time.Time) {
+func (l *simulation) advanceTo(now time.Time) {
 	for len(l.ends) > 0 && !l.ends[0].at.After(now) {
 		e := heap.Pop(&l.ends).(callEnd)
 		l.sched.Done(&e.call, Outcome{}, e.at)
 		for _, p := range e.call.Parts {
-			l.left[p.Job] -= len(p.Pieces)
-			if l.left[p.Job] > 0 {
+			l.unfinished[p.Job] -= len(p.Pieces)
+			if l.unfinished[p.Job] > 0 {
 				continue
 			}
 			if !e.at.After(p.Job.Target) {
-				l.onTime++
+				l.metTarget++
 			}
 			if !e.at.After(p.Job.Deadline) {
-				l.done++
+				l.metDeadline++
 			}
 		}
 		l.dispatch(e.at)
 	}
 }
 
-func (l *load) arrive(j *Job) {
-	l.until(j.Arrived)
-	l.left[j] = len(j.Pieces)
+func (l *simulation) submit(j *Job) {
+	l.advanceTo(j.Arrived)
+	l.unfinished[j] = len(j.Pieces)
 	if _, ok := l.sched.Forecast(j, l.servers, j.Arrived); ok {
 		l.sched.Arrive(j, j.Arrived)
 	}
 	l.dispatch(j.Arrived)
 }
 
-func newLoad(n int) *load {
-	return &load{sched: NewScheduler(batch), servers: servers(n), left: make(map[*Job]int)}
+func newSimulation(n int) *simulation {
+	return &simulation{sched: NewScheduler(batch), servers: servers(n), unfinished: make(map[*Job]int)}
 }
 
 // The load of the narrow pool: requests of two or three pieces, more than the servers could take with a piece a call.
 func TestCallsFillUnderLoad(t *testing.T) {
-	l := newLoad(5)
+	l := newSimulation(5)
 	jobs := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 30 * time.Millisecond {
-		l.arrive(job(fmt.Sprint(at), 2+jobs%2, at, at+900*time.Millisecond, at+5*time.Second))
+		l.submit(job(fmt.Sprint(at), 2+jobs%2, at, at+900*time.Millisecond, at+5*time.Second))
 		jobs++
 	}
-	l.until(begin.Add(time.Minute))
-	require.Greater(t, float64(l.onTime)/float64(jobs), 0.98, "83 pieces a second fit into full calls, 23 into single ones")
+	l.advanceTo(epoch.Add(time.Minute))
+	require.Greater(t, float64(l.metTarget)/float64(jobs), 0.98, "83 pieces a second fit into full calls, 23 into single ones")
 }
 
 // A burst of twice the capacity for three seconds must not make the requests after it late.
 func TestBacklogThatIsLateGoesBehind(t *testing.T) {
-	l := newLoad(5)
-	after := 0
+	l := newSimulation(5)
+	metDuringBurst := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 25 * time.Millisecond {
 		n := 1
 		if at < 3*time.Second {
 			n = 5
 		}
 		j := job(fmt.Sprint(at), n, at, at+900*time.Millisecond, at+5*time.Second)
-		before := l.onTime
-		l.arrive(j)
+		before := l.metTarget
+		l.submit(j)
 		if at == 4*time.Second {
-			after = before
+			metDuringBurst = before
 		}
 	}
-	l.until(begin.Add(time.Minute))
-	require.Greater(t, l.onTime-after, 220, "of 240 requests after the burst")
+	l.advanceTo(epoch.Add(time.Minute))
+	require.Greater(t, l.metTarget-metDuringBurst, 220, "of 240 requests after the burst")
 }
 
 func TestJobsThatCannotBeDoneAreRefusedAtOnce(t *testing.T) {
-	l := newLoad(1)
+	l := newSimulation(1)
 	for i := range 40 {
 		j := job(fmt.Sprint(i), 8, 0, time.Second, 3*time.Second)
-		l.sched.Arrive(j, begin)
+		l.sched.Arrive(j, epoch)
 	}
-	refused := l.sched.Hopeless(l.servers, begin)
+	refused := l.sched.Hopeless(l.servers, epoch)
 	require.GreaterOrEqual(t, len(refused), 30, "one server takes eight calls of eight in three seconds")
-	_, ok := l.sched.Forecast(job("x", 8, 0, 100*time.Millisecond, 300*time.Millisecond), l.servers, begin)
+	_, ok := l.sched.Forecast(job("x", 8, 0, 100*time.Millisecond, 300*time.Millisecond), l.servers, epoch)
 	require.False(t, ok, "a call takes 368 ms")
 }
 
@@ -162,12 +162,12 @@
 	for i := range 3 {
 		j := job(fmt.Sprint(i), 5, 0, time.Second, 5*time.Second)
 		j.ResultBytes = 3_000_000
-		s.Arrive(j, begin)
+		s.Arrive(j, epoch)
 	}
-	c, ok := s.Next(v, begin)
+	c, ok := s.Next(v, epoch)
 	require.True(t, ok)
 	require.Equal(t, 5, c.Count(), "16.2 MB hold five results of 3 MB")
-	now := begin.Add(time.Second)
+	now := epoch.Add(time.Second)
 	s.Done(&c, Outcome{Handles: [][]string{{"h0", "h1", "h2", "h3", "h4"}}}, now)
 	_, ok = s.Next(v, now)
 	require.False(t, ok)
@@ -180,13 +180,13 @@
 	s, v := NewScheduler(batch), servers(1)
 	j := job("a", 2, 0, time.Second, 5*time.Second)
 	j.ResultBytes = 6000
-	s.Arrive(j, begin)
-	c, _ := s.Next(v, begin)
-	s.Done(&c, Outcome{NoRoom: true}, begin)
-	s.Add(job("b", 2, 0, time.Second, 5*time.Second), begin)
-	_, ok := s.Next(v, begin.Add(time.Millisecond))
+	s.Arrive(j, epoch)
+	c, _ := s.Next(v, epoch)
+	s.Done(&c, Outcome{NoRoom: true}, epoch)
+	s.Add(job("b", 2, 0, time.Second, 5*time.Second), epoch)
+	_, ok := s.Next(v, epoch.Add(time.Millisecond))
 	require.False(t, ok)
-	_, ok = s.Next(v, begin.Add(roomlessFor))
+	_, ok = s.Next(v, epoch.Add(fullFor))
 	require.True(t, ok)
 }
 
@@ -194,27 +194,27 @@
 	s, v := NewScheduler(batch), servers(1)
 	j := job("a", 2, 0, 2*time.Second, 5*time.Second)
 	j.CrossingBytes, j.Domain = 1_500_000, "b"
-	s.Arrive(j, begin)
-	_, ok := s.Next(v, begin)
+	s.Arrive(j, epoch)
+	_, ok := s.Next(v, epoch)
 	require.False(t, ok)
-	_, ok = s.Next(v, begin.Add(remoteWait))
+	_, ok = s.Next(v, epoch.Add(domainWait))
 	require.True(t, ok)
 }
 
 func TestSlowServerIsUsedOnlyWhenTheOthersDoNotSuffice(t *testing.T) {
 	s, v := NewScheduler(batch), servers(2)
-	s.state("s0").ratio = 5
-	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), begin)
-	c, ok := s.Next(v, begin)
+	s.state("s0").durationRatio = 5
+	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), epoch)
+	c, ok := s.Next(v, epoch)
 	require.True(t, ok)
 	require.Equal(t, "s1", c.Server.ID)
-	s.Arrive(job("b", 2, 0, time.Second, 5*time.Second), begin)
-	_, ok = s.Next(v, begin)
+	s.Arrive(job("b", 2, 0, time.Second, 5*time.Second), epoch)
+	_, ok = s.Next(v, epoch)
 	require.False(t, ok)
 	for i := range 5 {
-		s.Arrive(job(fmt.Sprint(i), 2, 0, time.Second, 5*time.Second), begin)
+		s.Arrive(job(fmt.Sprint(i), 2, 0, time.Second, 5*time.Second), epoch)
 	}
-	c, ok = s.Next(v, begin)
+	c, ok = s.Next(v, epoch)
 	require.True(t, ok)
 	require.Equal(t, "s0", c.Server.ID)
 }
@@ -222,16 +222,16 @@
 // Whatever arrives and ends, a piece is in one place, calls keep to their size, and a server runs one call.
 func TestSchedulerKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, v, now := NewScheduler(batch), servers(3), begin
+		s, v, now := NewScheduler(batch), servers(3), epoch
 		var running []Call
-		total, out := 0, 0
+		submitted, ended := 0, 0
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				j := job("j", rapid.IntRange(1, 12).Draw(t, "pieces"), now.Sub(begin), now.Sub(begin)+time.Second, now.Sub(begin)+time.Hour)
+				j := job("j", rapid.IntRange(1, 12).Draw(t, "pieces"), now.Sub(epoch), now.Sub(epoch)+time.Second, now.Sub(epoch)+time.Hour)
 				j.ResultBytes = int64(rapid.IntRange(0, 2_000_000).Draw(t, "bytes"))
-				total += len(j.Pieces)
+				submitted += len(j.Pieces)
 				s.Arrive(j, now)
 			case 1:
 				if c, ok := s.Next(v, now); ok {
@@ -244,12 +244,12 @@
 				if len(running) > 0 {
 					c := running[0]
 					running = running[1:]
-					out += c.Count()
+					ended += c.Count()
 					s.Done(&c, Outcome{Failed: rapid.Bool().Draw(t, "failed")}, now)
 				}
 			}
 			busy := map[string]bool{}
-			n := s.Waiting() + out
+			n := s.Waiting() + ended
 			for _, c := range running {
 				if busy[c.Server.ID] {
 					t.Fatalf("two calls on %s", c.Server.ID)
@@ -257,12 +257,12 @@
 				busy[c.Server.ID] = true
 				n += c.Count()
 			}
-			if n != total {
-				t.Fatalf("%d of %d pieces", n, total)
+			if n != submitted {
+				t.Fatalf("%d of %d pieces", n, submitted)
 			}
 			for id, st := range s.servers {
-				if st.held < 0 {
-					t.Fatalf("%s holds %d bytes", id, st.held)
+				if st.reservedBytes < 0 {
+					t.Fatalf("%s holds %d bytes", id, st.reservedBytes)
 				}
 			}
 		}
@@ -272,11 +272,11 @@
 func TestQuietServerIsUsedOnlyWhileItAnswers(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	v[0].Quiet = true
-	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), begin)
-	_, ok := s.Next(v, begin)
+	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), epoch)
+	_, ok := s.Next(v, epoch)
 	require.False(t, ok)
-	s.state("s0").answered = begin
-	_, ok = s.Next(v, begin.Add(trustFor-1))
+	s.state("s0").answeredAt = epoch
+	_, ok = s.Next(v, epoch.Add(quietTrustFor-1))
 	require.True(t, ok)
 }
 
@@ -285,40 +285,40 @@
 	s, v := NewScheduler(batch), servers(1)
 	j := job("a", 8, 0, time.Second, 5*time.Second)
 	j.ResultBytes = 2_000_000
-	s.Arrive(j, begin)
-	require.Equal(t, v, s.Unasked(v, begin))
-	require.Empty(t, s.Unasked(v, begin), "it is asked already")
-	_, ok := s.Next(v, begin)
+	s.Arrive(j, epoch)
+	require.Equal(t, v, s.RoomQueries(v, epoch))
+	require.Empty(t, s.RoomQueries(v, epoch), "it is asked already")
+	_, ok := s.Next(v, epoch)
 	require.False(t, ok, "its room is not known yet")
-	require.EqualValues(t, 14_000_000, s.Learned("s0", dialect.Room{Least: 3_000_001, Most: 4_000_000}, begin))
-	_, ok = s.Next(v, begin)
+	require.EqualValues(t, 14_000_000, s.SetRoom("s0", dialect.Room{Least: 3_000_001, Most: 4_000_000}, epoch))
+	_, ok = s.Next(v, epoch)
 	require.False(t, ok, "a job of eight results of 2 MB does not fit")
-	again := begin.Add(foreignInterval)
-	require.Equal(t, v, s.Unasked(v, again))
-	require.Zero(t, s.Learned("s0", dialect.Room{Least: 18_000_000, Most: 18_000_000}, again))
+	again := epoch.Add(foreignInterval)
+	require.Equal(t, v, s.RoomQueries(v, again))
+	require.Zero(t, s.SetRoom("s0", dialect.Room{Least: 18_000_000, Most: 18_000_000}, again))
 	c, ok := s.Next(v, again)
 	require.True(t, ok)
 	require.Equal(t, 8, c.Count())
-	require.Empty(t, s.Unasked(v, again.Add(time.Minute)), "this VM made the latest call")
+	require.Empty(t, s.RoomQueries(v, again.Add(time.Minute)), "this VM made the latest call")
 }
 
 func TestServerThatDoesNotTellItsRoomIsUsedAfterAWhile(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
-	s.Arrive(job("a", 1, 0, time.Second, 5*time.Second), begin)
-	require.Len(t, s.Unasked(v, begin), 1)
-	_, ok := s.Next(v, begin.Add(roomPatience))
+	s.Arrive(job("a", 1, 0, time.Second, 5*time.Second), epoch)
+	require.Len(t, s.RoomQueries(v, epoch), 1)
+	_, ok := s.Next(v, epoch.Add(roomQueryTimeout))
 	require.True(t, ok)
 }
 
 func TestServerThatHadNoRoomIsAskedAgain(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
-	s.Arrive(job("a", 1, 0, time.Second, 5*time.Second), begin)
-	c, _ := s.Next(v, begin)
-	s.Done(&c, Outcome{NoRoom: true}, begin)
-	s.Add(job("b", 1, 0, time.Second, 5*time.Second), begin)
-	require.Len(t, s.Unasked(v, begin), 1)
-	s.Learned("s0", dialect.Room{Least: 18_000_000, Most: 18_000_000}, begin)
-	_, ok := s.Next(v, begin)
+	s.Arrive(job("a", 1, 0, time.Second, 5*time.Second), epoch)
+	c, _ := s.Next(v, epoch)
+	s.Done(&c, Outcome{NoRoom: true}, epoch)
+	s.Add(job("b", 1, 0, time.Second, 5*time.Second), epoch)
+	require.Len(t, s.RoomQueries(v, epoch), 1)
+	s.SetRoom("s0", dialect.Room{Least: 18_000_000, Most: 18_000_000}, epoch)
+	_, ok := s.Next(v, epoch)
 	require.True(t, ok, "it has room again")
 }
 
@@ -326,21 +326,21 @@
 // of the jobs that go before.
 func TestQueueStaysInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, now := NewScheduler(batch), begin
+		s, now := NewScheduler(batch), epoch
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
-			since := now.Sub(begin)
+			since := now.Sub(epoch)
 			target := since + time.Duration(rapid.IntRange(0, 1500).Draw(t, "target"))*time.Millisecond
 			j := job("j", rapid.IntRange(1, 5).Draw(t, "pieces"), since, target, target+time.Second)
 			j.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
 			s.Arrive(j, now)
-			s.order(now)
+			s.demoteLate(now)
 			for _, k := range s.jobs {
-				if k.late == s.onTime(k, now) {
+				if k.late == s.canMeetTarget(k, now) {
 					t.Fatalf("a job's place is that of another time")
 				}
 			}
-			if !slices.IsSortedFunc(s.jobs, compare) {
+			if !slices.IsSortedFunc(s.jobs, compareJobs) {
 				t.Fatalf("the queue is out of order")
 			}
 		}
@@ -353,11 +353,11 @@
 	for i := range 2000 {
 		j := job("j", 2, 0, time.Duration(i)*time.Millisecond, time.Hour)
 		j.Priority = i % 3
-		s.Arrive(j, begin)
+		s.Arrive(j, epoch)
 	}
 	for i := 0; b.Loop(); i++ {
-		now := begin.Add(time.Duration(i) * 10 * time.Microsecond)
-		j := job("k", 2, now.Sub(begin), now.Sub(begin)+time.Duration(i%2000)*time.Millisecond, time.Hour)
+		now := epoch.Add(time.Duration(i) * 10 * time.Microsecond)
+		j := job("k", 2, now.Sub(epoch), now.Sub(epoch)+time.Duration(i%2000)*time.Millisecond, time.Hour)
 		if _, ok := s.Forecast(j, v, now); ok {
 			s.Add(j, now)
 			s.Drop(j)
@@ -369,21 +369,21 @@
 // are known then, also when they were given up meanwhile.
 func TestAnswerThatComesAgainIsKnown(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
-	s.Learned("s0", dialect.Room{Least: batch.ResultBytes, Most: batch.ResultBytes}, begin)
-	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), begin)
-	c, ok := s.Next(v, begin)
+	s.SetRoom("s0", dialect.Room{Least: batch.ResultBytes, Most: batch.ResultBytes}, epoch)
+	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), epoch)
+	c, ok := s.Next(v, epoch)
 	require.True(t, ok)
 	results := []dialect.PieceResult{{Handle: "10.0.0.1:1/a"}, {Handle: "10.0.0.1:1/b"}}
-	require.False(t, s.Known("s0", results))
-	s.Done(&c, Outcome{Handles: [][]string{{results[0].Handle, results[1].Handle}}}, begin.Add(200*time.Millisecond))
-	require.True(t, s.Known("s0", results))
+	require.False(t, s.Repeated("s0", results))
+	s.Done(&c, Outcome{Handles: [][]string{{results[0].Handle, results[1].Handle}}}, epoch.Add(200*time.Millisecond))
+	require.True(t, s.Repeated("s0", results))
 	s.Freed("s0", []string{results[0].Handle, results[1].Handle})
-	require.True(t, s.Known("s0", results))
-	require.False(t, s.Known("s0", []dialect.PieceResult{{Reason: dialect.ReasonRoom}, {Handle: "10.0.0.1:1/c"}}))
-	require.Zero(t, s.state("s0").held)
-	s.state("s0").forget(begin.Add(batch.ResultTTL+time.Second), batch.ResultTTL)
+	require.True(t, s.Repeated("s0", results))
+	require.False(t, s.Repeated("s0", []dialect.PieceResult{{Reason: dialect.ReasonRoom}, {Handle: "10.0.0.1:1/c"}}))
+	require.Zero(t, s.state("s0").reservedBytes)
+	s.state("s0").expireResults(epoch.Add(batch.ResultTTL+time.Second), batch.ResultTTL)
 	require.Empty(t, s.state("s0").results, "what has expired is forgotten")
-	require.Zero(t, s.state("s0").held)
+	require.Zero(t, s.state("s0").reservedBytes)
 }
 
 // A job that is suspected shares no call, whatever its place in the queue.
@@ -392,17 +392,17 @@
 		s := NewScheduler(batch)
 		for i := range 4 {
 			j := job(string(rune('a'+i)), 1, 0, time.Second, 5*time.Second)
-			j.Alone = i == 2 || i == 0 && first
-			s.Arrive(j, begin)
+			j.Isolated = i == 2 || i == 0 && first
+			s.Arrive(j, epoch)
 		}
 		seen := 0
 		for i := range 4 {
-			c, ok := s.Next([]Server{{ID: string(rune('s' + i))}}, begin)
+			c, ok := s.Next([]Server{{ID: string(rune('s' + i))}}, epoch)
 			if !ok {
 				break
 			}
 			for _, p := range c.Parts {
-				require.True(t, !p.Job.Alone || len(c.Parts) == 1)
+				require.True(t, !p.Job.Isolated || len(c.Parts) == 1)
 				seen++
 			}
 		}
@@ -414,17 +414,17 @@
 func TestPiecesUnderWhichAServerEndedWaitAMoment(t *testing.T) {
 	s := NewScheduler(batch)
 	held, other := job("a", 1, 0, time.Second, 5*time.Second), job("b", 1, 0, time.Second, 5*time.Second)
-	held.NotBefore = begin.Add(30 * time.Millisecond)
-	s.Arrive(held, begin)
-	s.Arrive(other, begin)
-	c, ok := s.Next([]Server{{ID: "s"}}, begin)
+	held.NotBefore = epoch.Add(30 * time.Millisecond)
+	s.Arrive(held, epoch)
+	s.Arrive(other, epoch)
+	c, ok := s.Next([]Server{{ID: "s"}}, epoch)
 	require.True(t, ok)
 	require.Len(t, c.Parts, 1)
 	require.Equal(t, other, c.Parts[0].Job)
-	wait, ok := s.Wait(begin)
+	wait, ok := s.NextCheck(epoch)
 	require.True(t, ok)
 	require.Equal(t, 30*time.Millisecond, wait)
-	c, ok = s.Next([]Server{{ID: "s2"}}, begin.Add(wait))
+	c, ok = s.Next([]Server{{ID: "s2"}}, epoch.Add(wait))
 	require.True(t, ok)
 	require.Equal(t, held, c.Parts[0].Job)
 }
--- a/pkg/stagecall/send.go
+++ b/pkg/stagecall/send.go
@@ -38,13 +38,13 @@
 	if err != nil {
 		return nil, err
 	}
-	limit := min(latest.Sub(c.Begun), callFactor*c.Expected+callSlack)
+	limit := min(latest.Sub(c.Begun), callTimeoutFactor*c.Expected+callTimeoutSlack)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	a, err := p.runner.opts.Pool.Do(ctx, upstream.Call{
 		Address: c.Server.Address, Method: method, Target: path, Host: c.Server.Address,
 		Header: d.TargetHeader(c.Server.ID, latest.Sub(c.Begun)), Body: body, HasBody: true,
-		OnSend: func() error { return p.runner.mayAsk(c.Server.record()) },
+		OnSend: func() error { return p.runner.checkOpen(c.Server.record()) },
 	})
 	if err != nil {
 		return nil, err
@@ -53,13 +53,13 @@
 		// Closing only returns or drops the connection.
 		_ = a.Body.Close()
 	}()
-	said := d.Answer(a.Status, a.Header)
-	p.runner.noticed(c.Server.record(), said.Notice)
-	answer, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
+	meta := d.Answer(a.Status, a.Header)
+	p.runner.applyNotice(c.Server.record(), meta.Notice)
+	answer, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	if said.NotRun || said.Misdirected {
+	if meta.NotRun || meta.Misdirected {
 		return nil, errShed
 	}
 	results, err := d.StageResults(answer)
@@ -67,7 +67,7 @@
 		err = dialect.ErrFormat
 	}
 	if err == nil && p.repeated(c.Server.ID, results) {
-		err = errRepeated
+		err = errRepeatedAnswer
 	}
 	if err != nil {
 		a.Discard()
@@ -75,45 +75,45 @@
 	return results, err
 }
 
-// errNotOpen keeps a call from a server that wants none.
-var errNotOpen = errors.New("stagecall: the server wants no calls now")
+// errNoCallsWanted keeps a call from a server that wants none.
+var errNoCallsWanted = errors.New("stagecall: the server wants no calls now")
 
-// mayAsk returns errNotOpen when a server said that it wants no calls now.
-func (r *Runner) mayAsk(v directory.Server) error {
+// checkOpen returns errNotOpen when a server said that it wants no calls now.
+func (r *Runner) checkOpen(v directory.Server) error {
 	if r.opts.View.Open(v, time.Now()) {
 		return nil
 	}
-	return errNotOpen
+	return errNoCallsWanted
 }
 
-// noticed takes over what a server said of itself in an answer.
-func (r *Runner) noticed(v directory.Server, n holdoff.Notice) {
+// applyNotice takes over what a server said of itself in an answer.
+func (r *Runner) applyNotice(v directory.Server, n holdoff.Notice) {
 	if r.opts.View.Noticed(v, n, time.Now()) {
 		r.opts.Log.Info("server wants no more calls", "service", v.Service, "server", v.ID, "incarnation", v.Incarnation(),
 			"leaving", n.Leaving, "wait_ms", n.Wait.Milliseconds())
 	}
 }
 
-// errRepeated means that a server sent an earlier answer once more; the one to the call may come behind it.
-var errRepeated = errors.New("stagecall: the answer holds results of an earlier call")
+// errRepeatedAnswer means that a server sent an earlier answer once more; the one to the call may come behind it.
+var errRepeatedAnswer = errors.New("stagecall: the answer holds results of an earlier call")
 
 // repeated reports whether a result is known from an earlier call. Answers to stage calls bear no id of the call.
 func (p *pool) repeated(server string, results []dialect.PieceResult) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.sched.Known(server, results)
+	return p.sched.Repeated(server, results)
 }
 
-// ask asks a server for its free room.
-func (p *pool) ask(v Server) {
-	free, err := p.runner.askRoom(v)
+// queryRoom asks a server for its free room.
+func (p *pool) queryRoom(v Server) {
+	free, err := p.runner.fetchRoom(v)
 	now := time.Now()
 	if err != nil {
 		p.runner.opts.Log.Info("server did not tell its room", "service", p.service, "server", v.ID, "reason", err.Error())
 		return
 	}
 	p.mu.Lock()
-	foreign := p.sched.Learned(v.ID, free, now)
+	foreign := p.sched.SetRoom(v.ID, free, now)
 	p.mu.Unlock()
 	if foreign > 0 {
 		p.runner.opts.Log.Info("server holds results of other VMs' calls", "service", p.service, "server", v.ID,
@@ -122,14 +122,14 @@
 	p.dispatch()
 }
 
-func (r *Runner) askRoom(v Server) (dialect.Room, error) {
+func (r *Runner) fetchRoom(v Server) (dialect.Room, error) {
 	d := r.opts.Dialect
-	ctx, cancel := context.WithTimeout(context.Background(), roomPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), roomQueryTimeout)
 	defer cancel()
 	method, path := d.StageReport()
 	a, err := r.opts.Asides.Do(ctx, upstream.Call{
-		Address: v.Address, Method: method, Target: path, Host: v.Address, Header: d.TargetHeader(v.ID, roomPatience),
-		OnSend: func() error { return r.mayAsk(v.record()) },
+		Address: v.Address, Method: method, Target: path, Host: v.Address, Header: d.TargetHeader(v.ID, roomQueryTimeout),
+		OnSend: func() error { return r.checkOpen(v.record()) },
 	})
 	if err != nil {
 		return dialect.Room{}, err
@@ -138,8 +138,8 @@
 		// Closing only returns or drops the connection.
 		_ = a.Body.Close()
 	}()
-	r.noticed(v.record(), d.Answer(a.Status, a.Header).Notice)
-	answer, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
+	r.applyNotice(v.record(), d.Answer(a.Status, a.Header).Notice)
+	answer, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
 	if err != nil {
 		return dialect.Room{}, err
 	}
--- a/pkg/stageclient/stageclient.go
+++ b/pkg/stageclient/stageclient.go
@@ -49,7 +49,7 @@
 
 	mu sync.Mutex
 	// alone admits the jobs of each service that are made alone.
-	alone map[string]*stagecall.Pace
+	alone map[string]*stagecall.Limiter
 }
 
 const (
@@ -81,7 +81,7 @@
 func New(o Options) *Client {
 	return &Client{
 		known: o.Known, heard: o.Heard, http: o.HTTP, local: o.Local, rate: o.Rate,
-		start: rand.Float64(), alone: make(map[string]*stagecall.Pace), freer: NewFreer(o.Known, "", o.HTTP, o.Local, o.Log), log: o.Log,
+		start: rand.Float64(), alone: make(map[string]*stagecall.Limiter), freer: NewFreer(o.Known, "", o.HTTP, o.Local, o.Log), log: o.Log,
 	}
 }
 
@@ -134,10 +134,10 @@
 	defer c.mu.Unlock()
 	p := c.alone[service]
 	if p == nil {
-		p = &stagecall.Pace{}
+		p = &stagecall.Limiter{}
 		c.alone[service] = p
 	}
-	return p.Take(rate, c.start, now)
+	return p.Allow(rate, c.start, now)
 }
 
 // runAt has a job done by an owner. A new owner that did not take over in order ends the wait.
