--- a/pkg/stagecall/forecast.go
+++ b/pkg/stagecall/forecast.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// arrivalWindow is the time over which the inflow is counted: a few calls long.
+	// arrivalWindow is the time over which the arrival rate is measured, a few calls long.
 	arrivalWindow = 2 * time.Second
-	// minSpareShare is the share of the capacity that is taken to be left for late jobs at least.
+	// minSpareShare is the minimum share of the capacity that a forecast assumes to be left for late jobs.
 	minSpareShare = 0.5
-	// lateTimeShare is the share of a late job's time that its forecast may use: more urgent work goes on arriving.
+	// lateTimeShare is the share of a late job's remaining time that its forecast may use: more urgent work keeps arriving.
 	lateTimeShare = 0.95
 )
 
-// arrivalRate returns the pieces that came in a second.
+// arrivalRate returns the number of pieces that arrived per second, averaged over arrivalWindow.
 func (s *Scheduler) arrivalRate(now time.Time) float64 {
 	i := 0
 	for i < len(s.arrivals) && now.Sub(s.arrivals[i].at) > arrivalWindow {
@@ -28,7 +28,7 @@
 	return float64(n) / arrivalWindow.Seconds()
 }
 
-// Waiting returns how many pieces wait.
+// Waiting returns the number of queued pieces.
 func (s *Scheduler) Waiting() int {
 	n := 0
 	for _, j := range s.jobs {
@@ -37,18 +37,18 @@
 	return n
 }
 
-// Drop takes a job out of the queue.
+// Drop removes a job from the queue.
 func (s *Scheduler) Drop(j *Job) {
 	s.jobs = slices.DeleteFunc(s.jobs, func(k *Job) bool { return k == j })
 }
 
-// Hopeless takes the jobs out of the queue that are not expected to be done before their deadline.
+// Hopeless removes and returns the jobs that are not expected to finish before their deadline.
 func (s *Scheduler) Hopeless(servers []Server, now time.Time) []*Job {
 	if len(s.jobs) == 0 {
 		return nil
 	}
 	s.demoteLate(now)
-	f := s.throughput(servers, now)
+	f := s.capacity(servers, now)
 	ahead := 0
 	var out []*Job
 	s.jobs = slices.DeleteFunc(s.jobs, func(j *Job) bool {
@@ -62,15 +62,15 @@
 	return out
 }
 
-// throughput is what the servers can do and what comes.
+// throughput is the rate at which the servers process pieces and the rate at which pieces arrive.
 type throughput struct {
-	// capacity and arrivals are in pieces a second.
+	// capacity and arrivals are in pieces per second.
 	capacity, arrivals float64
-	// hasFreeServer is true when a server has a hasFreeServer place.
+	// hasFreeServer is true if a server can take a call at once.
 	hasFreeServer bool
 }
 
-func (s *Scheduler) throughput(servers []Server, now time.Time) throughput {
+func (s *Scheduler) capacity(servers []Server, now time.Time) throughput {
 	f := throughput{arrivals: s.arrivalRate(now)}
 	size := max(s.avgCallPieces, 1)
 	for _, v := range servers {
@@ -84,11 +84,11 @@
 	return f
 }
 
-// queueDelay returns how long a job waits for a server when so many pieces go before it. More urgent work that is still to come
-// goes before a late job as well, so that only the spare capacity counts for one.
+// queueDelay returns how long a job waits for a server with the given number of pieces ahead of it. More urgent work that
+// is still to arrive also goes ahead of a late job, so only the spare capacity counts for a late job.
 func (s *Scheduler) queueDelay(j *Job, f throughput, ahead int, now time.Time) time.Duration {
 	if f.capacity == 0 {
-		// No server can be used now: one that is avoided is tried again after avoidMost at the latest.
+		// No server is usable now; one that is being avoided is tried again after maxAvoid at the latest.
 		return maxAvoid
 	}
 	rate := f.capacity
@@ -111,7 +111,7 @@
 	return s.queueDelay(j, f, ahead, now)+s.batch.CallTime(min(len(j.Pieces), s.batch.Size)) <= left
 }
 
-// Forecast returns how long a job that is queued now waits for a server, and whether it is expected to be done in time.
+// Forecast returns how long a job queued now would wait for a server, and whether it is expected to meet its deadline.
 func (s *Scheduler) Forecast(j *Job, servers []Server, now time.Time) (time.Duration, bool) {
 	s.demoteLate(now)
 	j.late = !s.canMeetTarget(j, now)
@@ -119,13 +119,13 @@
 	for _, k := range s.jobs[:s.position(j)] {
 		ahead += len(k.Pieces)
 	}
-	f := s.throughput(servers, now)
+	f := s.capacity(servers, now)
 	return s.queueDelay(j, f, ahead, now), s.meetsDeadline(j, f, ahead, now)
 }
 
-// Backlog returns how long the servers need for all that waits, beside what comes.
+// Backlog returns how long the servers need for all queued pieces while new ones keep arriving.
 func (s *Scheduler) Backlog(servers []Server, now time.Time) time.Duration {
-	f := s.throughput(servers, now)
+	f := s.capacity(servers, now)
 	if f.capacity == 0 {
 		return maxAvoid
 	}
--- a/pkg/stagecall/pool.go
+++ b/pkg/stagecall/pool.go
@@ -16,7 +16,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/upstream"
 )
 
-// pool is the work on one service.
+// pool schedules and makes the calls of one service.
 type pool struct {
 	runner  *Runner
 	service string
@@ -25,15 +25,16 @@
 	sched         *Scheduler
 	budget        *retry.Budget
 	dispatchTimer *time.Timer
-	// servers are those that served at listed; checked is when the queue was last searched for jobs without hope.
+	// servers is the list of usable servers as of listedAt; checkedAt is when the queue was last searched for jobs that
+	// can't meet their deadline.
 	servers   []Server
 	listedAt  time.Time
 	checkedAt time.Time
-	// serverIDs names the server of each address, for the room of results.
+	// serverIDs maps a server's address to its ID, to account for the memory that results take there.
 	serverIDs map[string]string
 }
 
-// waiter is a job and those that wait for it. The pool's lock guards it.
+// waiter collects the results of one job for the Run call that waits for it. The pool's lock guards it.
 type waiter struct {
 	job     *Job
 	results []dialect.PieceResult
@@ -41,23 +42,23 @@
 	pending int
 	done    chan struct{}
 	closed  bool
-	// unreadPieces counts the pieces whose inputs may still be read; inputsRead is told when there are none, nil when nobody
-	// wants to know.
+	// unreadPieces counts the pieces whose inputs a server may still have to read. inputsRead is called once, when it
+	// reaches 0; it is nil if the caller doesn't need to know.
 	unreadPieces     int
 	inputsRead       func()
 	inputsReadCalled bool
 }
 
-// complete reports whether all pieces have results; call it once the wait is over.
+// complete reports whether all pieces have results. Call it only after done is closed.
 func (w *waiter) complete() bool {
 	return !slices.ContainsFunc(w.results, func(r dialect.PieceResult) bool { return r.Handle == "" })
 }
 
 const (
-	// serverListTTL is how old the list of servers may be when a call is formed: an owner looks at it a thousand times a
-	// second.
+	// serverListTTL is the maximum age of the server list when a call is formed: an owner reads the list about a thousand
+	// times a second.
 	serverListTTL = 20 * time.Millisecond
-	// deadlineCheckInterval is the time between two searches of the queue for jobs that can't be done in time.
+	// deadlineCheckInterval is the minimum time between two searches of the queue for jobs that can't meet their deadline.
 	deadlineCheckInterval = 20 * time.Millisecond
 )
 
@@ -70,7 +71,7 @@
 	return p.servers
 }
 
-// endInfeasible ends the jobs that can't be done in time; the pool's lock is held.
+// endInfeasible ends the jobs that can't meet their deadline; the pool's lock is held.
 func (p *pool) endInfeasible(servers []Server, now time.Time) {
 	if now.Sub(p.checkedAt) < deadlineCheckInterval {
 		return
@@ -78,12 +79,13 @@
 	p.checkedAt = now
 	for _, j := range p.sched.Hopeless(servers, now) {
 		for _, piece := range j.Pieces {
-			j.waiter.setResult(piece, dialect.PieceResult{Reason: dialect.ReasonLate}, "")
+			j.resultsTo.setResult(piece, dialect.PieceResult{Reason: dialect.ReasonLate}, "")
 		}
 	}
 }
 
-// enqueue queues a job unless it can't be done in time; the wait is returned then.
+// enqueue queues a job, unless it can't meet its deadline; then it returns the time after which a retry makes sense, and
+// false.
 func (p *pool) enqueue(w *waiter, now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	servers := p.serving(now)
@@ -94,14 +96,14 @@
 	}
 	p.budget.Attempt(now)
 	p.checkSuspect(w.job)
-	w.job.waiter = w
+	w.job.resultsTo = w
 	p.sched.Arrive(w.job, now)
 	p.mu.Unlock()
 	p.dispatch()
 	return 0, true
 }
 
-// cancel takes a job back whose caller has gone, and returns the results that it has.
+// cancel removes the job of a caller that has gone, and returns the handles of the results made so far.
 func (p *pool) cancel(w *waiter) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +126,7 @@
 	}
 }
 
-// dispatch makes all calls that can be made now.
+// dispatch starts all calls that can be made now.
 func (p *pool) dispatch() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +152,7 @@
 	}
 }
 
-// setResult notes a piece's end; the pool's lock is held.
+// setResult stores the final result of a piece; the pool's lock is held.
 func (w *waiter) setResult(piece Piece, r dialect.PieceResult, domain string) {
 	i := piece.Index
 	if i < 0 || i >= len(w.results) || w.results[i] != (dialect.PieceResult{}) {
@@ -163,7 +165,7 @@
 	}
 }
 
-// call makes one call and hands its results out.
+// call makes one call and passes the results on to the waiters.
 func (p *pool) call(c *Call) {
 	reading := time.AfterFunc(inputReadTime, func() { p.inputsRead(c) })
 	runs := p.beginRuns(c)
@@ -189,7 +191,7 @@
 			}
 			n++
 			o.NoRoom = o.NoRoom || r.Reason == dialect.ReasonRoom
-			if r.Handle != "" && part.Job.waiter.closed {
+			if r.Handle != "" && part.Job.resultsTo.closed {
 				orphaned = append(orphaned, r.Handle)
 			}
 			handles = append(handles, r.Handle)
@@ -204,7 +206,7 @@
 	p.dispatch()
 }
 
-// beginRuns notes that the requests of a call are on its server.
+// beginRuns records for crash attribution that the requests of a call are running on its server.
 func (p *pool) beginRuns(c *Call) []*quarantine.Run {
 	var runs []*quarantine.Run
 	for _, part := range c.Parts {
@@ -215,8 +217,8 @@
 	return runs
 }
 
-// endRuns notes that they are not any more. A server that ended under the call counts against them. It returns the server's
-// state when it gave no answer to a call that was sent.
+// endRuns records that they no longer run there. If the server crashed during the call, the crash counts against them. It
+// returns the server's state if a call that was sent got no answer, otherwise an empty one.
 func (p *pool) endRuns(c *Call, runs []*quarantine.Run, err error) liveness.State {
 	state := liveness.State("")
 	var e *upstream.Error
@@ -229,13 +231,13 @@
 	return state
 }
 
-// record is the server as the directory names it.
+// record returns the server in the form that the directory uses.
 func (v Server) record() directory.Server {
 	return directory.Server{ID: v.ID, Address: v.Address, Domain: v.Domain, Born: v.Born}
 }
 
-// inputsRead notes that a call which has not ended has read its inputs. Pieces for which the server may have no room are
-// sent again and need them still; the call's end tells.
+// inputsRead handles a call that has run long enough for its inputs to be read. Nothing changes while the server may lack
+// memory for the results: its pieces would be sent again and need their inputs; the result of the call decides.
 func (p *pool) inputsRead(c *Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -244,7 +246,7 @@
 	}
 	c.inputsRead = true
 	for _, part := range c.Parts {
-		w := part.Job.waiter
+		w := part.Job.resultsTo
 		w.unreadPieces -= len(part.Pieces)
 		if w.unreadPieces == 0 && !w.closed && w.inputsRead != nil && !w.inputsReadCalled {
 			w.inputsRead()
@@ -253,9 +255,9 @@
 	}
 }
 
-// handleResult handles one piece's result: a piece without one is sent again while that may help.
+// handleResult handles the result of one piece. A failed piece is queued again if a retry can still succeed.
 func (p *pool) handleResult(j *Job, piece Piece, r dialect.PieceResult, c *Call, shed bool, now time.Time) {
-	w := j.waiter
+	w := j.resultsTo
 	if r.Handle != "" {
 		w.setResult(piece, r, c.Server.Domain)
 		return
@@ -267,7 +269,7 @@
 	inTime := j.Deadline.Sub(now) > p.sched.batch.CallTime(1) && !p.checkSuspect(j)
 	if retryable && inTime && !w.closed && piece.Tries < maxAttempts && (shed || r.Reason == dialect.ReasonRoom || p.budget.Allow(now)) {
 		if c.serverEnded {
-			// So that the next end, if there is one, tells something about the request.
+			// With this delay, a further crash, if any, can be attributed to the request.
 			j.NotBefore = now.Add(quarantine.SettleTime)
 		}
 		if len(j.Pieces) == 0 {
@@ -282,7 +284,7 @@
 	w.setResult(piece, r, "")
 }
 
-// checkSuspect notes what is known of a job's request, and reports whether it is refused.
+// checkSuspect updates what is known of crashes under a job's request, and reports whether the request is refused.
 func (p *pool) checkSuspect(j *Job) bool {
 	if j.Fingerprint == 0 {
 		return false
@@ -292,11 +294,11 @@
 	return refused
 }
 
-// isolateAfterCrashes is from how many ends of servers under a request its pieces share no call with those of others: one may have
-// been chance, and many requests were in that call.
+// isolateAfterCrashes is the number of server crashes under a request from which its pieces share no call with other jobs. A
+// single crash may have been a coincidence, and the call may have held many requests.
 const isolateAfterCrashes = 2
 
-// logCall tells of a call: which pieces went where, how long they had waited, and what came of it.
+// logCall logs a finished call: its pieces, how long they waited, and the outcome.
 func (p *pool) logCall(c *Call, o *Outcome, err error, state liveness.State, now time.Time) {
 	var requests, fingerprints []string
 	waited := time.Duration(0)
--- a/pkg/stagecall/queue.go
+++ b/pkg/stagecall/queue.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Add queues a job again.
+// Add puts a job back into the queue, without counting it as an arrival.
 func (s *Scheduler) Add(j *Job, now time.Time) {
 	s.updateLate(j, now)
 	s.insert(j)
 }
 
-// updateLate notes whether a job can still meet its target.
+// updateLate updates whether a job can still meet its target, and when the queue must be checked for late jobs again.
 func (s *Scheduler) updateLate(j *Job, now time.Time) {
 	j.late = !s.canMeetTarget(j, now)
 	if late := s.latestStart(j); !j.late && late.Before(s.nextLateAt) {
@@ -20,10 +20,10 @@
 	}
 }
 
-// insert puts a job in its place, behind its equals.
+// insert adds a job to the queue in order, after jobs that compare equal.
 func (s *Scheduler) insert(j *Job) { s.jobs = slices.Insert(s.jobs, s.position(j), j) }
 
-// position returns how many jobs go before a job that has been judged.
+// position returns the index at which a job belongs; j.late must be up to date.
 func (s *Scheduler) position(j *Job) int {
 	i, _ := slices.BinarySearchFunc(s.jobs, j, func(a, b *Job) int {
 		if compareJobs(a, b) <= 0 {
@@ -34,12 +34,12 @@
 	return i
 }
 
-// effectiveTarget orders jobs that can meet their targets: by target, and a step of priority counts as priorityStep.
+// effectiveTarget is the sort key of jobs that can meet their target: each priority level adds priorityStep.
 func (j *Job) effectiveTarget() time.Time {
 	return j.Target.Add(time.Duration(j.Priority) * priorityStep)
 }
 
-// demoteLate moves the jobs that have become late behind those that are on time.
+// demoteLate moves jobs that can no longer meet their target behind those that can.
 func (s *Scheduler) demoteLate(now time.Time) {
 	if now.Before(s.nextLateAt) {
 		return
@@ -61,16 +61,16 @@
 	}
 }
 
-// canMeetTarget reports whether a job that is begun now in a full call meets its target.
+// canMeetTarget reports whether a job that starts now in a full call meets its target.
 func (s *Scheduler) canMeetTarget(j *Job, now time.Time) bool { return !now.After(s.latestStart(j)) }
 
-// latestStart is until when a job that is begun in a full call meets its target.
+// latestStart is the latest time at which a job can start in a full call and still meet its target.
 func (s *Scheduler) latestStart(j *Job) time.Time {
 	return j.Target.Add(-s.batch.CallTime(s.batch.Size))
 }
 
-// compareJobs orders two jobs: those that can still meet their target by it, then the late ones by priority and deadline. So
-// a backlog that is late already doesn't make what comes after it late as well.
+// compareJobs orders two jobs: first those that can still meet their target, by target and priority, then the late ones by
+// priority and deadline. This way a backlog of late jobs doesn't make newer jobs late too.
 func compareJobs(a, b *Job) int {
 	switch {
 	case a.late != b.late && b.late:
--- a/pkg/stagecall/giveup.go
+++ b/pkg/stagecall/release.go
@@ -9,7 +9,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/upstream"
 )
 
-// Free gives results up; calls to one server are gathered for a moment.
+// Free releases results; handles for the same server are collected for a short time and sent in one request.
 func (r *Runner) Free(handles []string) {
 	now := time.Now()
 	r.mu.Lock()
@@ -31,7 +31,7 @@
 	r.scheduleFlush()
 }
 
-// scheduleFlush sees to the next flush; r.mu is held.
+// scheduleFlush starts the flush timer if handles are pending and none is running; r.mu is held.
 func (r *Runner) scheduleFlush() {
 	if r.flushTimer == nil && len(r.pendingFrees) > 0 {
 		r.flushTimer = time.AfterFunc(freeInterval, r.flush)
@@ -48,7 +48,7 @@
 		pools = append(pools, p)
 	}
 	r.mu.Unlock()
-	// Pools are locked before the Runner, so that they are asked without its lock.
+	// The lock order is pool before Runner, so pools are queried without r.mu.
 	for address, f := range pending {
 		if now.Sub(f.since) >= freeIntervalAmple || !hasAmpleRoomAt(pools, address) {
 			go r.sendFree(address, f.handles, pools)
@@ -67,15 +67,15 @@
 	r.scheduleFlush()
 }
 
-// hasAmpleRoomAt reports whether the server at an address is known to have room enough for the next calls.
+// hasAmpleRoomAt reports whether the server at an address is known to have enough free memory for the next calls.
 func hasAmpleRoomAt(pools []*pool, address string) bool {
 	for _, p := range pools {
 		p.mu.Lock()
 		id, ok := p.serverIDs[address]
-		roomy := ok && p.sched.HasAmpleRoom(id)
+		ample := ok && p.sched.HasAmpleRoom(id)
 		p.mu.Unlock()
 		if ok {
-			return roomy
+			return ample
 		}
 	}
 	return false
@@ -89,7 +89,7 @@
 	}
 	v, known := r.opts.View.ServerAt(address)
 	if err := r.checkOpen(v); known && err != nil {
-		// It drops them by itself after a time.
+		// The server drops the results by itself once they expire.
 		r.opts.Log.Info("results not given up", "server_address", address, "count", len(handles), "reason", err.Error())
 		return
 	}
@@ -106,7 +106,7 @@
 	if known {
 		r.applyNotice(v, r.opts.Dialect.Answer(a.Status, a.Header).Notice)
 	}
-	// The body says nothing; what can't be read drops the connection.
+	// The body carries no information; a read error only drops the connection.
 	_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxResponseBytes))
 	_ = a.Body.Close()
 	for _, p := range pools {
@@ -119,7 +119,8 @@
 	}
 }
 
-// AddressOf returns the address of the server that holds a result.
+// AddressOf returns the address of the server that holds a result: the part of the handle before the first slash. It is
+// empty if the handle has none.
 func AddressOf(handle string) string {
 	for i := range len(handle) {
 		if handle[i] == '/' {
--- a/pkg/stagecall/room.go
+++ b/pkg/stagecall/room.go
@@ -6,22 +6,24 @@
 	"github.com/daisyhatch/daisyhatch/pkg/dialect"
 )
 
-// The room for results at a server is what limits a pool at times, and only the VM that has its calls made knows who
-// holds how much of it. A VM that takes a service's calls over asks the servers first: they would work on calls whose
-// results they have no room for.
+// "Room" is the free memory for results at a stage server. It can be what limits a pool, and only the VM that owns the
+// calls of a service knows which results take how much of it. A VM that takes over a service first queries the servers for
+// their room: otherwise they would compute results that they can't store.
 const (
-	// roomKnownFor is how long after its last call a server's room counts as known: another VM may have used it since.
+	// roomKnownFor is how long the room of a server counts as known after the last call to it or report from it; later,
+	// another VM may have used the room.
 	roomKnownFor = 2 * time.Second
-	// roomQueryTimeout is how long a server is left alone until it answers; it lies milliseconds away.
+	// roomQueryTimeout is how long a server gets no calls while its report is awaited; round trips take milliseconds.
 	roomQueryTimeout = 300 * time.Millisecond
-	// roomUncertainFor is how long a server that had no room may have none again: results of calls that another VM made last for
-	// seconds.
+	// roomUncertainFor is how long after running out of room a server may run out again: results of calls that another
+	// VM made last for seconds.
 	roomUncertainFor = 2 * time.Second
-	// foreignInterval is how often a server is asked while it holds results of other VMs' calls: about a call's time.
+	// foreignInterval is how often a server is queried while it holds results of other VMs' calls, about the duration of a
+	// call.
 	foreignInterval = 400 * time.Millisecond
 )
 
-// RoomQueries returns the servers that must be asked for their room now, and notes that they are asked.
+// RoomQueries returns the servers whose room must be queried now, and records the query.
 func (s *Scheduler) RoomQueries(servers []Server, now time.Time) []Server {
 	if len(s.jobs) == 0 {
 		return nil
@@ -41,8 +43,8 @@
 	return out
 }
 
-// SetRoom takes over what a server says of its free room. It returns the bytes that results of other VMs' calls take
-// there: at least.
+// SetRoom records the room that a server reported. It returns the minimum number of bytes that results of other VMs' calls
+// take there.
 func (s *Scheduler) SetRoom(server string, free dialect.Room, now time.Time) int64 {
 	st := s.state(server)
 	st.expireResults(now, s.batch.ResultTTL)
@@ -54,35 +56,35 @@
 	return st.foreignBytes
 }
 
-// markFull notes that a server had no room for a result. It is asked again.
+// markFull records that a server had no room for a result; its room is queried again.
 func (st *serverState) markFull(now time.Time) {
 	st.fullUntil = now.Add(fullFor)
 	st.roomKnownAt = time.Time{}
 }
 
-// roomKnown reports whether this VM made the latest calls to the server, or has asked it since.
+// roomKnown reports whether this VM made the latest calls to the server or got a report from it recently.
 func (st *serverState) roomKnown(now time.Time) bool {
 	return st.busy > 0 || now.Sub(st.roomKnownAt) < roomKnownFor
 }
 
-// awaitingRoom reports whether a server's answer must be waited for before it gets a call.
+// awaitingRoom reports whether the server gets no calls until it has answered a room query or the query has timed out.
 func (st *serverState) awaitingRoom(now time.Time) bool {
 	return !st.roomKnown(now) && now.Sub(st.roomQueriedAt) < roomQueryTimeout
 }
 
-// freeBytes returns the bytes that new results may take at a server.
+// freeBytes returns how many bytes new results may take at a server; negative if it holds too much already.
 func (s *Scheduler) freeBytes(st *serverState) int64 {
 	return int64(float64(s.batch.ResultBytes)*usableRoomShare) - st.reservedBytes - st.foreignBytes
 }
 
-// HasAmpleRoom reports whether a server has room for two usual calls.
+// HasAmpleRoom reports whether a server has room for two calls of average size.
 func (s *Scheduler) HasAmpleRoom(server string) bool {
 	st := s.servers[server]
 	return st != nil && s.freeBytes(st) >= int64(2*s.avgCallBytes)
 }
 
-// CertainOfRoom reports whether a server is known to have the room that its calls need: it holds no results of other VMs'
-// calls, and had room lately.
+// CertainOfRoom reports whether a server surely has room for the results of its calls: it holds no results of other VMs' calls
+// and has not run out of room recently.
 func (s *Scheduler) CertainOfRoom(server string, now time.Time) bool {
 	st := s.servers[server]
 	return st == nil || st.foreignBytes == 0 && now.Sub(st.fullUntil) > roomUncertainFor
--- a/pkg/stagecall/runner.go
+++ b/pkg/stagecall/runner.go
@@ -20,65 +20,67 @@
 	"github.com/daisyhatch/daisyhatch/pkg/upstream"
 )
 
-// ErrUnknownService means that the service runs no stages in the configuration that this VM knows.
+// ErrUnknownService means that the configuration known to this VM has no such service, or that the service runs no stages.
 var ErrUnknownService = errors.New("stagecall: service is not known here")
 
 const (
-	// maxAttempts is how many servers a piece is sent to.
+	// maxAttempts is the maximum number of times that a piece is sent, not counting attempts that failed for lack of room.
 	maxAttempts = 3
-	// callSlack and callTimeoutFactor bound a call against what it should take; a slow server's call is waited for, a silent
-	// one's is given up.
+	// A call times out after callTimeoutFactor times its expected duration plus callTimeoutSlack: long enough for a slow
+	// server, short enough for one that doesn't answer.
 	callTimeoutFactor = 5
 	callTimeoutSlack  = 500 * time.Millisecond
-	// maxResponseBytes bounds the answer to a call in bytes.
+	// maxResponseBytes limits the size of a server's response.
 	maxResponseBytes = 1 << 20
-	// retryShare and retryReserve bound the pieces sent again, against those sent first, well below what a service may
-	// get from all VMs.
+	// retryShare and retryReserve limit the pieces that are sent again, as a share of those sent first plus a reserve. The
+	// share is far below what a service may receive from all VMs.
 	retryShare   = 0.1
 	retryReserve = 1.0
-	// inputReadTime is when a call that is being worked on has read its inputs: a full call reads about 23 MB at 10 Gbit/s,
-	// 18 ms, and shares the links with others.
+	// inputReadTime is the time after which a running call is assumed to have read its inputs: a full call reads about
+	// 23 MB, which takes 18 ms at 10 Gbit/s on a link of its own, and the links are shared.
 	inputReadTime = 100 * time.Millisecond
-	// freeInterval is how long results that were given up are gathered for one call to a server whose room is scarce,
-	// freeRoomy at one that has room enough.
+	// freeInterval is how long handles to release are collected for one request to a server that is short of room,
+	// freeIntervalAmple for a server with ample room.
 	freeInterval      = 30 * time.Millisecond
 	freeIntervalAmple = 150 * time.Millisecond
-	// freeTimeout bounds such a call; a result that stays is released by its server after a time.
+	// freeTimeout limits a release request; if it fails, the server drops the results once they expire.
 	freeTimeout = time.Second
 )
 
-// View is what a Runner knows of the system.
+// View is the state of the system that a Runner reads and updates.
 type View interface {
 	Catalog() *catalog.Set
 	// Serving returns the stage servers that may get calls now.
 	Serving(service string, now time.Time) []Server
-	// Server returns what is known of a server; false when nothing is.
+	// Server returns the server with an ID; false if it is unknown.
 	Server(id string) (directory.Server, bool)
-	// ServerAt returns the server to which an address belongs; false when none is known.
+	// ServerAt returns the server with an address; false if it is unknown.
 	ServerAt(address string) (directory.Server, bool)
-	// Noticed takes over what an incarnation of a server said in an answer, and reports whether that is news.
+	// Noticed records what an incarnation of a server said about itself in an answer, and reports whether that is new.
 	Noticed(v directory.Server, n holdoff.Notice, now time.Time) bool
-	// Open reports whether an incarnation of a server takes calls of any kind, as far as its answers say.
+	// Open reports whether an incarnation of a server accepts calls of any kind, according to its latest answers.
 	Open(v directory.Server, now time.Time) bool
 }
 
-// Options are what a Runner is made from.
+// Options configures a Runner.
 type Options struct {
 	View    View
 	Dialect dialect.Dialect
-	// Pool holds the connections for stage calls, Asides those for reports and give-ups: an answer that comes twice on one
-	// of those must not be taken for a stage's results.
+	// Pool holds the connections for stage calls, Asides those for liveness checks, room queries and releases. They are
+	// separate so that a duplicate response to one of the latter is never taken for the results of a stage call.
 	Pool, Asides *upstream.Pool
-	// Suspects keeps requests under which servers ended from being run; nil remembers what this Runner sees.
+	// Suspects tracks requests under which servers crashed and refuses them; nil means a tracker of this Runner's own.
 	Suspects *quarantine.Tracker
-	// MayCall is asked right before each call; calls wait while it says no. nil allows all.
+	// MayCall is checked right before each call; calls wait while it returns false. nil allows all calls.
 	MayCall func() bool
-	// Release gives results of other services up that jobs have read; nil when this VM does it itself.
+	// Release releases a job's input results, which other services made, once they are read; nil means that this Runner
+	// does it.
 	Release func(handles []string)
 	Log     logr.Logger
 }
 
-// Runner makes stage calls for all VMs that ask it.
+// Runner makes the stage calls of all services that this VM owns, or of this VM's own requests. It is safe for concurrent
+// use.
 type Runner struct {
 	opts     Options
 	liveness *liveness.Checker
@@ -89,13 +91,13 @@
 	flushTimer   *time.Timer
 }
 
-// pendingFree are results at one server that were given up and that it has not been told of.
+// pendingFree holds the handles at one server that are released here but not yet reported to the server.
 type pendingFree struct {
 	handles []string
 	since   time.Time
 }
 
-// NewRunner returns a Runner.
+// NewRunner returns a Runner without any pools; they are created on first use.
 func NewRunner(o Options) *Runner {
 	if o.Suspects == nil {
 		o.Suspects = quarantine.NewTracker(quarantine.TrackerOptions{Log: o.Log})
@@ -126,9 +128,9 @@
 	return p, nil
 }
 
-// Run runs the pieces of one stage of one request and returns their results in order. It refuses at once what can't be
-// done before the deadline. inputsRead may be nil; it is called at most once before Run returns, when all pieces have
-// been worked on for inputReadTime.
+// Run runs the pieces of one stage of one request and returns their results in order. A stage that can't finish before its
+// deadline is refused at once. inputsRead may be nil; it is called at most once, before Run returns, when all pieces have
+// been running for inputReadTime. Errors: ErrUnknownService and those of ctx.
 func (r *Runner) Run(
 	ctx context.Context, q *daisyhatchv1.StageRunRequest, inputsRead func(),
 ) (*daisyhatchv1.StageRunResponse, error) {
@@ -175,10 +177,10 @@
 	return res, nil
 }
 
-// reasonSuspect is why the stages of a request are not run under which servers ended.
+// reasonSuspect is the reason given when a request is refused because servers crashed while running it.
 const reasonSuspect = "servers ended one after the other under this request"
 
-// release gives results up through the VMs that had them made.
+// release releases results through the VMs that own the calls that made them.
 func (r *Runner) release(handles []string) {
 	if r.opts.Release != nil {
 		r.opts.Release(handles)
@@ -187,7 +189,7 @@
 	r.Free(handles)
 }
 
-// inputsOf returns the inputs of all pieces, each once.
+// inputsOf returns the inputs of all pieces without duplicates.
 func inputsOf(q *daisyhatchv1.StageRunRequest) []string {
 	var out []string
 	for _, p := range q.GetPieces() {
--- a/pkg/stagecall/runner_test.go
+++ b/pkg/stagecall/runner_test.go
@@ -17,11 +17,11 @@
 		job: j, pending: n, unreadPieces: n, done: make(chan struct{}), results: make([]dialect.PieceResult, n),
 		domains: make([]string, n), inputsRead: func() { *readCount++ },
 	}
-	j.waiter = w
+	j.resultsTo = w
 	return w
 }
 
-func TestInputsAreReadOnceAllPiecesAreWorkedOn(t *testing.T) {
+func TestInputsReadIsCalledOnceAllPiecesRun(t *testing.T) {
 	readCount := 0
 	j := job("a", 3, 0, time.Second, 5*time.Second)
 	newWaiter(j, &readCount)
@@ -34,7 +34,7 @@
 }
 
 // A piece that is sent again needs its inputs again.
-func TestInputsOfAPieceThatFailedAreReadAgain(t *testing.T) {
+func TestFailedPieceNeedsItsInputsAgain(t *testing.T) {
 	readCount := 0
 	j := job("a", 2, 0, time.Second, 5*time.Second)
 	newWaiter(j, &readCount)
@@ -51,7 +51,7 @@
 	require.Equal(t, 1, readCount)
 }
 
-func TestInputsOfAJobThatHasEndedAreNotToldAsRead(t *testing.T) {
+func TestInputsReadIsNotCalledForAnEndedJob(t *testing.T) {
 	readCount := 0
 	j := job("a", 1, 0, time.Second, 5*time.Second)
 	w := newWaiter(j, &readCount)
@@ -60,28 +60,28 @@
 	require.Zero(t, readCount)
 }
 
-func TestInputsOfAllPiecesAreGivenUpOnce(t *testing.T) {
+func TestInputsOfRemovesDuplicates(t *testing.T) {
 	q := &daisyhatchv1.StageRunRequest{Pieces: []*daisyhatchv1.StagePiece{{Inputs: []string{"b", "a"}}, {Inputs: []string{"a", "b"}}}}
 	require.Equal(t, []string{"a", "b"}, inputsOf(q))
 }
 
-// A job of which a piece failed leaves its inputs to the caller, who may run the stage anew.
-func TestJobIsMadeWhenAllPiecesHaveResults(t *testing.T) {
+// If a piece failed, the inputs are left to the caller, who may run the stage again.
+func TestJobIsCompleteWhenAllPiecesHaveResults(t *testing.T) {
 	w := &waiter{results: []dialect.PieceResult{{Handle: "a"}, {Reason: dialect.ReasonRoom}}}
 	require.False(t, w.complete())
 	w.results[1] = dialect.PieceResult{Handle: "b"}
 	require.True(t, w.complete())
 }
 
-// A server whose room is scarce is told of results that were given up at once, one with room enough in larger calls.
-func TestRoomDecidesHowSoonServersAreTold(t *testing.T) {
+// Released handles are sent soon to a server that is short of room, and in larger batches to one with ample room.
+func TestReleasesWaitLongerWhenTheServerHasRoom(t *testing.T) {
 	s := NewScheduler(batch)
 	require.False(t, s.HasAmpleRoom("s0"), "nothing is known of the server")
 	st := s.state("s0")
 	s.avgCallBytes = float64(batch.ResultBytes) / 4
 	require.True(t, s.HasAmpleRoom("s0"))
 	st.reservedBytes = batch.ResultBytes / 2
-	require.False(t, s.HasAmpleRoom("s0"), "there is room for one usual call")
+	require.False(t, s.HasAmpleRoom("s0"), "there is room for only one average call")
 	r := NewRunner(Options{})
 	r.pools["s"] = &pool{sched: s, serverIDs: map[string]string{"10.0.0.1:1": "s0"}}
 	st.reservedBytes = 0
@@ -89,12 +89,12 @@
 	r.flushTimer.Stop()
 	r.flush()
 	r.flushTimer.Stop()
-	require.Len(t, r.pendingFrees["10.0.0.1:1"].handles, 1, "it is kept for a larger call, once")
+	require.Len(t, r.pendingFrees["10.0.0.1:1"].handles, 1, "the handle is kept once, for a later batch")
 }
 
-// After a change of owners servers hold results of the former one's calls, and pieces find no room. Their inputs must still
-// be there when they are sent again, or all stages before them are run once more.
-func TestInputsStayWhileTheServerMayHaveNoRoom(t *testing.T) {
+// After a change of owner, servers still hold results of the former owner's calls, and pieces may find no room. Their inputs
+// must still exist when they are sent again; otherwise all earlier stages have to run once more.
+func TestInputsAreKeptWhileTheServerMayLackRoom(t *testing.T) {
 	readCount := 0
 	j := job("a", 1, 0, time.Second, 5*time.Second)
 	newWaiter(j, &readCount)
@@ -103,11 +103,11 @@
 	c := &Call{Server: Server{ID: "s0"}, Parts: []CallPart{{Job: j, Pieces: j.Pieces}}}
 	s.state("s0").foreignBytes = 1
 	p.inputsRead(c)
-	require.Zero(t, readCount, "another VM's results are there")
+	require.Zero(t, readCount, "the server holds results of another VM's calls")
 	s.state("s0").foreignBytes = 0
 	s.state("s0").markFull(time.Now())
 	p.inputsRead(c)
-	require.Zero(t, readCount, "it had no room a moment ago")
+	require.Zero(t, readCount, "the server ran out of room a moment ago")
 	require.False(t, c.inputsRead)
 	s.state("s0").fullUntil = time.Now().Add(-roomUncertainFor - time.Second)
 	p.inputsRead(c)
--- a/pkg/stagecall/scheduler.go
+++ b/pkg/stagecall/scheduler.go
@@ -1,6 +1,6 @@
-// Package stagecall forms the calls to stage servers for all VMs in one place. A stage server runs one call at a time
-// and a call costs a fixed time whatever it holds, so the pools' capacity hangs on full calls: while all servers are busy
-// the pieces of all requests wait in one queue, and a server that becomes free takes as many as fit.
+// Package stagecall schedules the calls to stage servers, for the requests of all VMs in one place. A stage server runs one
+// call at a time, and each call has a fixed cost whatever its size, so the capacity of a pool depends on full calls: while
+// all servers are busy, the pieces of all requests wait in one queue, and a server that becomes free takes as many as fit.
 package stagecall
 
 import (
@@ -12,41 +12,42 @@
 	"github.com/daisyhatch/daisyhatch/pkg/dialect"
 )
 
-// Job is the pieces of one stage of one request.
+// Job is the work for one stage of one request.
 type Job struct {
 	Request string
-	// Fingerprint names the request by its content; 0 when it is not known.
+	// Fingerprint is a hash of the request's content; 0 if unknown.
 	Fingerprint uint64
 	Stage       int
 	Key         string
-	// Isolated is true once several servers ended under the request: it shares no call with others.
+	// Isolated is true after several servers crashed under the request; its pieces then share no call with other jobs.
 	Isolated bool
-	// NotBefore is when its pieces may go out again after a server ended under them.
+	// NotBefore is the earliest time at which its pieces may be sent again after a server crashed while running them.
 	NotBefore time.Time
-	// Pieces are those still to be run.
+	// Pieces are those not yet sent, or to be sent again.
 	Pieces []Piece
-	// Deadline is when the result is worth nothing, Target until when it is worth most.
+	// Deadline is when the result becomes worthless; Target is until when it has its full value.
 	Deadline, Target time.Time
 	Priority         int
-	// ResultBytes is about the size of one piece's result.
+	// ResultBytes is the approximate size of the result of one piece.
 	ResultBytes int64
-	// Domain is the failure domain where the results are wanted; empty when it doesn't matter.
+	// Domain is the failure domain that needs the results; empty if any will do.
 	Domain string
-	// CrossingBytes is about what crosses failure domains when the pieces are made elsewhere.
+	// CrossingBytes is the approximate number of bytes that cross failure domains if the pieces run in another domain.
 	CrossingBytes int64
-	// Arrived orders jobs with the same target.
+	// Arrived is the tie-breaker between jobs that are otherwise equal.
 	Arrived time.Time
 
-	waiter *waiter
-	// late is true when the job can't meet its target any more; the scheduler keeps it.
+	// resultsTo receives the results.
+	resultsTo *waiter
+	// late is true if the job can no longer meet its target; the Scheduler maintains it.
 	late bool
 }
 
-// Piece is one piece of a job.
+// Piece is the smallest unit of a job; each piece yields one result.
 type Piece struct {
 	Index  int
 	Inputs []string
-	// Tries is how many servers it was sent to.
+	// Tries is the number of failed attempts, not counting those that failed for lack of room.
 	Tries int
 }
 
@@ -55,32 +56,32 @@
 	ID      string
 	Address string
 	Domain  string
-	// Born is the Unix millisecond of the incarnation's start.
+	// Born is the start time of the incarnation in Unix milliseconds.
 	Born int64
-	// Quiet servers are not heard by the control VMs; they are used only while they go on answering.
+	// Quiet is true if the control VMs don't hear the server; it is used only while it keeps answering calls.
 	Quiet bool
 }
 
-// Call is pieces that go to one server together.
+// Call is a group of pieces that are sent to one server together.
 type Call struct {
 	Server Server
 	Parts  []CallPart
 	Begun  time.Time
-	// Expected is how long the call takes on a usual server.
+	// Expected is the duration of the call on a server of normal speed.
 	Expected time.Duration
-	// inputsRead is true once the pieces were worked on for inputReadTime. The pool's lock guards it.
+	// inputsRead is true once the call has run for inputReadTime and its inputs count as read. The pool's lock guards it.
 	inputsRead bool
-	// serverEnded is true when the server serverEnded under the call.
+	// serverEnded is true if the server crashed during the call.
 	serverEnded bool
 }
 
-// CallPart is the pieces of one job within a call.
+// CallPart holds the pieces of one job within a call.
 type CallPart struct {
 	Job    *Job
 	Pieces []Piece
 }
 
-// Count returns the number of pieces.
+// Count returns the number of pieces in the call.
 func (c *Call) Count() int {
 	n := 0
 	for _, p := range c.Parts {
@@ -89,74 +90,81 @@
 	return n
 }
 
-// Weights and times of the choice.
+// Parameters of the choice of servers and jobs.
 const (
-	// slowRatio is how much slower than usual a server may be before it is left out while others are enough.
+	// slowRatio is the ratio of actual to expected call time from which a server is left out while others suffice.
 	slowRatio = 2.0
-	// durationSmoothing is the weight of the newest call in a server's average.
+	// durationSmoothing is the weight of the newest call in a server's average duration ratio.
 	durationSmoothing = 0.4
-	// callSmoothing is the weight of the newest full call.
+	// callSmoothing is the weight of the newest call in the averages of pieces and bytes per call.
 	callSmoothing = 0.1
-	// minAvoid and avoidMost are how long a server that failed a call is avoided: doubled with each failure in a row.
+	// minAvoid and maxAvoid bound how long a server that failed a call is avoided; each failure in a row doubles the time.
 	minAvoid = 500 * time.Millisecond
 	maxAvoid = 4 * time.Second
-	// quietTrustFor is how long an answer shows that a server lives that the control VMs don't hear.
+	// quietTrustFor is how long after an answer a server that the control VMs don't hear is assumed to be alive.
 	quietTrustFor = 3 * time.Second
-	// fullFor is how long a server that has no room is left alone unless it says that it has some: results are given
-	// up one by one, a call for each request that ends.
+	// fullFor is how long a server without room gets no calls, unless it reports room earlier. Results are released one by
+	// one, with a call for each request that ends.
 	fullFor = 50 * time.Millisecond
-	// largeCrossingBytes is the size from which it matters where a job is made: bytes that cross failure domains are priced, at
-	// some hundredths of a usual request's worth from here on.
+	// largeCrossingBytes is the size from which a job's placement matters: bytes that cross failure domains are priced, and
+	// from here on they cost some hundredths of the value of a usual request.
 	largeCrossingBytes = 300_000
-	// domainWait is how long a job that is on time waits for a server where it is wanted: about a call.
+	// domainWait is how long a job that can meet its target waits for a server in the domain that needs its results, about
+	// one call.
 	domainWait = 400 * time.Millisecond
-	// priorityStep is how much earlier a target a less urgent job needs to go before a more urgent one: half of a usual call.
+	// priorityStep is the time by which one level of priority shifts a job's target, half of a usual call.
 	priorityStep = 150 * time.Millisecond
-	// usableRoomShare is the share of a server's room that is used; sizes are approximate.
+	// usableRoomShare is the share of a server's room that is used, since result sizes are approximate.
 	usableRoomShare = 0.9
 )
 
-// serverState is what is known of one server.
+// serverState is the state that the scheduler keeps for one server.
 type serverState struct {
+	// busy is the number of running calls.
 	busy int
-	// durationRatio is the time of its calls against the expected.
+	// durationRatio is the average ratio of actual to expected call time; 0 before the first call.
 	durationRatio float64
-	failures      int
-	avoidUntil    time.Time
+	// failures is the number of failed calls in a row.
+	failures   int
+	avoidUntil time.Time
+	// reservedBytes is the room taken by this VM's running calls and by their results that are not yet released.
 	reservedBytes int64
-	results       map[string]result
-	// answeredAt is when it last answeredAt a call.
+	// results holds the results made by calls of this VM, by handle.
+	results map[string]result
+	// answeredAt is when it last answered a call.
 	answeredAt time.Time
-	// fullUntil is until when the server is taken to have no room, after it said so.
+	// fullUntil is until when the server is assumed to have no room, after it reported that.
 	fullUntil time.Time
-	// foreignBytes is the room in bytes that results of other VMs' calls took when the server told, at learned; used is when
-	// it told or a call of this VM last began or ended there, asked when it was asked and has not answered.
+	// foreignBytes is the size of results of other VMs' calls, as the server reported at roomReportedAt. roomKnownAt is the
+	// time of the latest report, or of the latest start or end of a call of this VM there. roomQueriedAt is when a query
+	// was sent that is still unanswered.
 	foreignBytes   int64
 	roomReportedAt time.Time
 	roomKnownAt    time.Time
 	roomQueriedAt  time.Time
 }
 
-// result is one that a server made. It is remembered until it expires, also when it was given up.
+// result is a result that a server holds. It is kept until it expires, even if released earlier, to detect duplicate
+// responses.
 type result struct {
 	bytes     int64
 	expiresAt time.Time
 }
 
-// Scheduler decides for one service. It isn't safe for concurrent use.
+// Scheduler decides which pieces go to which server for one service. It is not safe for concurrent use.
 type Scheduler struct {
 	batch catalog.Batch
-	// jobs are kept in the order of compare.
+	// jobs is sorted by compareJobs.
 	jobs []*Job
-	// nextLateAt is when the first of the jobs that are on time becomes late.
+	// nextLateAt is when the first of the jobs that can meet their target becomes late.
 	nextLateAt time.Time
 	servers    map[string]*serverState
-	// arrivals are the pieces of the jobs that came within inflowWindow.
+	// arrivals holds the numbers of pieces that arrived within arrivalWindow.
 	arrivals []arrival
-	// avgCallPieces is the average count of pieces of calls that left pieces waiting: below the size of a call where results take
-	// all room.
+	// avgCallPieces is the average number of pieces of calls that left pieces waiting. It is below the maximum call size if
+	// servers run out of room.
 	avgCallPieces float64
-	// avgCallBytes is the average size of a call's results.
+	// avgCallBytes is the average size of all results of a call.
 	avgCallBytes float64
 }
 
@@ -165,25 +173,25 @@
 	pieces int
 }
 
-// NewScheduler returns a Scheduler for a service.
+// NewScheduler returns a Scheduler for a service, with an empty queue.
 func NewScheduler(b catalog.Batch) *Scheduler {
 	return &Scheduler{batch: b, servers: make(map[string]*serverState), avgCallPieces: float64(b.Size)}
 }
 
-// Configure takes over a changed configuration of the service.
+// Configure applies a changed configuration of the service.
 func (s *Scheduler) Configure(b catalog.Batch) {
 	if s.batch != b {
 		s.batch, s.nextLateAt = b, time.Time{}
 	}
 }
 
-// Arrive queues a new job.
+// Arrive queues a new job and counts its pieces as arrivals.
 func (s *Scheduler) Arrive(j *Job, now time.Time) {
 	s.arrivals = append(s.arrivals, arrival{now, len(j.Pieces)})
 	s.Add(j, now)
 }
 
-// Next returns the call to make now; false when no server is free or nothing waits.
+// Next returns the next call to make; false if no server is free or no job may be sent.
 func (s *Scheduler) Next(servers []Server, now time.Time) (Call, bool) {
 	if len(s.jobs) == 0 {
 		return Call{}, false
@@ -207,8 +215,8 @@
 	return Call{}, false
 }
 
-// freeServers returns the servers that may get a call now, the best one first. Slow ones are left out while the others are
-// enough for what waits.
+// freeServers returns the servers that may get a call now, best first. Slow servers are left out while the others can
+// take all that waits. The queue must not be empty.
 func (s *Scheduler) freeServers(servers []Server, now time.Time) []Server {
 	type ranked struct {
 		v    Server
@@ -245,34 +253,34 @@
 	return out
 }
 
-// Costs that break ties between servers of about one speed, in shares of a usual call.
+// Costs that are added to a server's duration ratio to choose between servers of similar speed; 1 is the time of a call.
 const (
-	// remoteCost is for a server in another failure domain than the most urgent job wants.
+	// remoteCost applies to a server outside the failure domain that the first job in the queue needs its results in.
 	remoteCost = 0.15
-	// usedRoomCost is for a server whose room is taken.
+	// usedRoomCost applies to a server whose room is all taken, and in proportion below that.
 	usedRoomCost = 0.3
 )
 
-// fill takes pieces out of the queue in order while they fit. Jobs with large results that are wanted elsewhere wait a
-// moment for a server there, unless they have no time to spare.
+// fill takes pieces from the queue in order while they fit into a call to a server. Jobs with large results that another
+// failure domain needs wait a moment for a server there, unless they have no time to spare.
 func (s *Scheduler) fill(v Server, now time.Time) Call {
 	c := Call{Server: v}
 	st := s.state(v.ID)
 	st.expireResults(now, s.batch.ResultTTL)
 	left := s.batch.Size
 	before := s.freeBytes(st)
-	room := before
+	freeBytes := before
 	kept := s.jobs[:0]
 	for _, j := range s.jobs {
 		n := 0
 		if s.mayRun(j, v, st, now) && c.accepts(j) {
-			n = s.fitting(j, left, room)
+			n = s.fitting(j, left, freeBytes)
 		}
 		if n > 0 {
 			c.Parts = append(c.Parts, CallPart{Job: j, Pieces: j.Pieces[:n:n]})
 			j.Pieces = j.Pieces[n:]
 			left -= n
-			room -= int64(n) * j.ResultBytes
+			freeBytes -= int64(n) * j.ResultBytes
 			st.reservedBytes += int64(n) * j.ResultBytes
 		}
 		if len(j.Pieces) > 0 {
@@ -282,7 +290,7 @@
 	clear(s.jobs[len(kept):])
 	s.jobs = kept
 	if len(c.Parts) > 0 {
-		s.avgCallBytes += callSmoothing * (float64(before-room) - s.avgCallBytes)
+		s.avgCallBytes += callSmoothing * (float64(before-freeBytes) - s.avgCallBytes)
 	}
 	return c
 }
@@ -292,7 +300,7 @@
 	return len(c.Parts) == 0 || !j.Isolated && !c.Parts[0].Job.Isolated
 }
 
-// mayRun reports whether a job may go to a server now.
+// mayRun reports whether a job may be sent to a server now.
 func (s *Scheduler) mayRun(j *Job, v Server, st *serverState, now time.Time) bool {
 	if now.Before(st.fullUntil) || now.Before(j.NotBefore) {
 		return false
@@ -304,11 +312,11 @@
 	return j.Domain == "" || j.Domain == v.Domain || !spare
 }
 
-// fitting returns how many pieces of a job fit into a call. A job is split only when it is larger than a call.
-func (s *Scheduler) fitting(j *Job, left int, room int64) int {
+// fitting returns the number of a job's pieces that fit into a call. Only a job larger than a full call is split.
+func (s *Scheduler) fitting(j *Job, left int, freeBytes int64) int {
 	n := min(len(j.Pieces), left)
 	if j.ResultBytes > 0 {
-		n = min(n, int(max(room, 0)/j.ResultBytes))
+		n = min(n, int(max(freeBytes, 0)/j.ResultBytes))
 	}
 	if n < len(j.Pieces) && len(j.Pieces) <= s.batch.Size {
 		return 0
@@ -318,17 +326,17 @@
 
 // Outcome is how a call ended.
 type Outcome struct {
-	// Handles are the results made, by the part's and the piece's place; empty for those that failed.
+	// Handles are the results, indexed by part and by piece within the part; empty for pieces that failed.
 	Handles [][]string
-	// Failed is true when the server did not answer the call.
+	// Failed is true if the server did not answer the call.
 	Failed bool
-	// Shed is true when the server refused the call without running it.
+	// Shed is true if the server refused the call without running it.
 	Shed bool
-	// NoRoom is true when the server had no room for a result.
+	// NoRoom is true if the server had no room for a result.
 	NoRoom bool
 }
 
-// Done takes the end of a call over. Room is released for pieces that made no result.
+// Done records the end of a call. The room reserved for pieces without a result becomes free again.
 func (s *Scheduler) Done(c *Call, o Outcome, now time.Time) {
 	st := s.state(c.Server.ID)
 	st.busy--
@@ -357,14 +365,14 @@
 	if o.NoRoom {
 		st.markFull(now)
 	}
-	ratio := float64(now.Sub(c.Begun)) / float64(max(c.Expected, time.Millisecond))
+	durationRatio := float64(now.Sub(c.Begun)) / float64(max(c.Expected, time.Millisecond))
 	if st.durationRatio == 0 {
 		st.durationRatio = 1
 	}
-	st.durationRatio += durationSmoothing * (ratio - st.durationRatio)
+	st.durationRatio += durationSmoothing * (durationRatio - st.durationRatio)
 }
 
-// Freed notes that results were given up.
+// Freed records that results at a server were released.
 func (s *Scheduler) Freed(server string, handles []string) {
 	st := s.state(server)
 	for _, h := range handles {
@@ -376,7 +384,7 @@
 	}
 }
 
-// Repeated reports whether a server made one of the results in an earlier call, within the time that results last.
+// Repeated reports whether any result was already returned by an earlier call to the server and has not expired.
 func (s *Scheduler) Repeated(server string, results []dialect.PieceResult) bool {
 	st := s.state(server)
 	return slices.ContainsFunc(results, func(r dialect.PieceResult) bool {
@@ -385,7 +393,7 @@
 	})
 }
 
-// Retain drops servers that are not in use any more.
+// Retain forgets servers that are not in the list and run no call.
 func (s *Scheduler) Retain(servers []Server) {
 	for id, st := range s.servers {
 		known := slices.ContainsFunc(servers, func(v Server) bool { return v.ID == id })
@@ -395,8 +403,8 @@
 	}
 }
 
-// NextCheck returns when something may have changed without an event: a server that is avoided comes back. False when
-// nothing will.
+// NextCheck returns the time until the queue must be checked again even without an event: a server is no longer avoided, a job's
+// NotBefore passes, or pollInterval ends. It returns false if the queue is empty.
 func (s *Scheduler) NextCheck(now time.Time) (time.Duration, bool) {
 	if len(s.jobs) == 0 {
 		return 0, false
@@ -415,7 +423,7 @@
 	return wait, true
 }
 
-// pollInterval is how often a queue that can't move is looked at: deadlines pass and servers come.
+// pollInterval is the maximum time between two checks of a queue that can't advance: deadlines pass and servers appear.
 const pollInterval = 100 * time.Millisecond
 
 func (s *Scheduler) state(id string) *serverState {
@@ -438,7 +446,7 @@
 	return st.durationRatio
 }
 
-// expireResults releases the room of results that have expired, those of other VMs' calls included; ttl is how long they last.
+// expireResults frees the room of expired results, including those of other VMs' calls; ttl is the lifetime of a result.
 func (st *serverState) expireResults(now time.Time, ttl time.Duration) {
 	if now.Sub(st.roomReportedAt) > ttl {
 		st.foreignBytes = 0
--- a/pkg/stagecall/scheduler_test.go
+++ b/pkg/stagecall/scheduler_test.go
@@ -38,8 +38,8 @@
 	return j
 }
 
-// simulation replays arrivals against servers that take exactly what a call should; it returns how many jobs met their target
-// and how many their deadline.
+// simulation runs jobs on servers whose calls take exactly their expected time. It counts the jobs that met their target
+// and those that met their deadline.
 type simulation struct {
 	sched       *Scheduler
 	servers     []Server
@@ -113,7 +113,8 @@
 	return &simulation{sched: NewScheduler(batch), servers: servers(n), unfinished: make(map[*Job]int)}
 }
 
-// The load of the narrow pool: requests of two or three pieces, more than the servers could take with a piece a call.
+// Load of a small pool: requests of two or three pieces, more than the servers could process with one
+// piece per call.
 func TestCallsFillUnderLoad(t *testing.T) {
 	l := newSimulation(5)
 	jobs := 0
@@ -122,11 +123,11 @@
 		jobs++
 	}
 	l.advanceTo(epoch.Add(time.Minute))
-	require.Greater(t, float64(l.metTarget)/float64(jobs), 0.98, "83 pieces a second fit into full calls, 23 into single ones")
+	require.Greater(t, float64(l.metTarget)/float64(jobs), 0.98, "83 pieces per second arrive; calls of one piece would process only 23")
 }
 
-// A burst of twice the capacity for three seconds must not make the requests after it late.
-func TestBacklogThatIsLateGoesBehind(t *testing.T) {
+// A burst of twice the capacity for three seconds must not make later requests miss their targets.
+func TestLateBacklogDoesNotDelayNewJobs(t *testing.T) {
 	l := newSimulation(5)
 	metDuringBurst := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 25 * time.Millisecond {
@@ -142,22 +143,22 @@
 		}
 	}
 	l.advanceTo(epoch.Add(time.Minute))
-	require.Greater(t, l.metTarget-metDuringBurst, 220, "of 240 requests after the burst")
+	require.Greater(t, l.metTarget-metDuringBurst, 220, "on-time requests of the 240 after the burst")
 }
 
-func TestJobsThatCannotBeDoneAreRefusedAtOnce(t *testing.T) {
+func TestInfeasibleJobsAreRejectedAtOnce(t *testing.T) {
 	l := newSimulation(1)
 	for i := range 40 {
 		j := job(fmt.Sprint(i), 8, 0, time.Second, 3*time.Second)
 		l.sched.Arrive(j, epoch)
 	}
 	refused := l.sched.Hopeless(l.servers, epoch)
-	require.GreaterOrEqual(t, len(refused), 30, "one server takes eight calls of eight in three seconds")
+	require.GreaterOrEqual(t, len(refused), 30, "one server runs eight calls of eight pieces in three seconds")
 	_, ok := l.sched.Forecast(job("x", 8, 0, 100*time.Millisecond, 300*time.Millisecond), l.servers, epoch)
 	require.False(t, ok, "a call takes 368 ms")
 }
 
-func TestResultsTakeRoomUntilGivenUp(t *testing.T) {
+func TestResultsTakeRoomUntilReleased(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	for i := range 3 {
 		j := job(fmt.Sprint(i), 5, 0, time.Second, 5*time.Second)
@@ -176,7 +177,7 @@
 	require.True(t, ok)
 }
 
-func TestServerWithoutRoomIsLeftAloneForSmallResultsToo(t *testing.T) {
+func TestServerWithoutRoomGetsNoSmallResultsEither(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	j := job("a", 2, 0, time.Second, 5*time.Second)
 	j.ResultBytes = 6000
@@ -190,7 +191,7 @@
 	require.True(t, ok)
 }
 
-func TestLargeResultsWaitAMomentForTheirDomain(t *testing.T) {
+func TestLargeResultsWaitForAServerInTheirDomain(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	j := job("a", 2, 0, 2*time.Second, 5*time.Second)
 	j.CrossingBytes, j.Domain = 1_500_000, "b"
@@ -219,8 +220,8 @@
 	require.Equal(t, "s0", c.Server.ID)
 }
 
-// Whatever arrives and ends, a piece is in one place, calls keep to their size, and a server runs one call.
-func TestSchedulerKeepsItsBounds(t *testing.T) {
+// Whatever arrives and ends: no piece is lost or duplicated, no call exceeds its size, and a server runs one call at a time.
+func TestSchedulerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, v, now := NewScheduler(batch), servers(3), epoch
 		var running []Call
@@ -236,7 +237,7 @@
 			case 1:
 				if c, ok := s.Next(v, now); ok {
 					if c.Count() > batch.Size || c.Count() == 0 {
-						t.Fatalf("a call of %d pieces", c.Count())
+						t.Fatalf("call has %d pieces", c.Count())
 					}
 					running = append(running, c)
 				}
@@ -252,17 +253,17 @@
 			n := s.Waiting() + ended
 			for _, c := range running {
 				if busy[c.Server.ID] {
-					t.Fatalf("two calls on %s", c.Server.ID)
+					t.Fatalf("two concurrent calls on %s", c.Server.ID)
 				}
 				busy[c.Server.ID] = true
 				n += c.Count()
 			}
 			if n != submitted {
-				t.Fatalf("%d of %d pieces", n, submitted)
+				t.Fatalf("found %d of %d submitted pieces", n, submitted)
 			}
 			for id, st := range s.servers {
 				if st.reservedBytes < 0 {
-					t.Fatalf("%s holds %d bytes", id, st.reservedBytes)
+					t.Fatalf("%s has %d reserved bytes", id, st.reservedBytes)
 				}
 			}
 		}
@@ -280,14 +281,14 @@
 	require.True(t, ok)
 }
 
-// A VM that takes a service's calls over knows nothing of the results that lie at its servers.
-func TestRoomIsAskedForBeforeTheFirstCall(t *testing.T) {
+// A VM that takes over a service's calls doesn't know which results its servers hold, so it must query them first.
+func TestRoomIsQueriedBeforeTheFirstCall(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	j := job("a", 8, 0, time.Second, 5*time.Second)
 	j.ResultBytes = 2_000_000
 	s.Arrive(j, epoch)
 	require.Equal(t, v, s.RoomQueries(v, epoch))
-	require.Empty(t, s.RoomQueries(v, epoch), "it is asked already")
+	require.Empty(t, s.RoomQueries(v, epoch), "the query is already pending")
 	_, ok := s.Next(v, epoch)
 	require.False(t, ok, "its room is not known yet")
 	require.EqualValues(t, 14_000_000, s.SetRoom("s0", dialect.Room{Least: 3_000_001, Most: 4_000_000}, epoch))
@@ -302,7 +303,7 @@
 	require.Empty(t, s.RoomQueries(v, again.Add(time.Minute)), "this VM made the latest call")
 }
 
-func TestServerThatDoesNotTellItsRoomIsUsedAfterAWhile(t *testing.T) {
+func TestServerIsUsedAfterARoomQueryTimesOut(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	s.Arrive(job("a", 1, 0, time.Second, 5*time.Second), epoch)
 	require.Len(t, s.RoomQueries(v, epoch), 1)
@@ -310,7 +311,7 @@
 	require.True(t, ok)
 }
 
-func TestServerThatHadNoRoomIsAskedAgain(t *testing.T) {
+func TestServerThatRanOutOfRoomIsQueriedAgain(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	s.Arrive(job("a", 1, 0, time.Second, 5*time.Second), epoch)
 	c, _ := s.Next(v, epoch)
@@ -322,8 +323,7 @@
 	require.True(t, ok, "it has room again")
 }
 
-// The queue stays in the order of compare whatever comes and however time passes, and a forecast counts exactly the pieces
-// of the jobs that go before.
+// The queue stays sorted by compareJobs whatever arrives and however time passes, and each job's late flag is up to date.
 func TestQueueStaysInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := NewScheduler(batch), epoch
@@ -337,7 +337,7 @@
 			s.demoteLate(now)
 			for _, k := range s.jobs {
 				if k.late == s.canMeetTarget(k, now) {
-					t.Fatalf("a job's place is that of another time")
+					t.Fatalf("a job's late flag is out of date")
 				}
 			}
 			if !slices.IsSortedFunc(s.jobs, compareJobs) {
@@ -347,7 +347,7 @@
 	})
 }
 
-// At the size of 300 VMs an owner sees 600 jobs a second, and most of them wait when load is at its worst.
+// With 300 VMs an owner receives 600 jobs per second, and at peak load most of them wait.
 func BenchmarkQueueOf2000Jobs(b *testing.B) {
 	s, v := NewScheduler(batch), servers(42)
 	for i := range 2000 {
@@ -365,9 +365,9 @@
 	}
 }
 
-// A server may send its answer to a call twice, and the second copy comes where the next call's answer is due. Its results
-// are known then, also when they were given up meanwhile.
-func TestAnswerThatComesAgainIsKnown(t *testing.T) {
+// A server may send its response to a call twice; the second copy then arrives where the response to the next call is
+// expected. It must be detected by its results, even if these were released in the meantime.
+func TestRepeatedAnswerIsDetected(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	s.SetRoom("s0", dialect.Room{Least: batch.ResultBytes, Most: batch.ResultBytes}, epoch)
 	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), epoch)
@@ -382,11 +382,11 @@
 	require.False(t, s.Repeated("s0", []dialect.PieceResult{{Reason: dialect.ReasonRoom}, {Handle: "10.0.0.1:1/c"}}))
 	require.Zero(t, s.state("s0").reservedBytes)
 	s.state("s0").expireResults(epoch.Add(batch.ResultTTL+time.Second), batch.ResultTTL)
-	require.Empty(t, s.state("s0").results, "what has expired is forgotten")
+	require.Empty(t, s.state("s0").results, "expired results are removed")
 	require.Zero(t, s.state("s0").reservedBytes)
 }
 
-// A job that is suspected shares no call, whatever its place in the queue.
+// A suspect job shares no call with others, wherever it is in the queue.
 func TestSuspectSharesNoCall(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		s := NewScheduler(batch)
@@ -410,8 +410,8 @@
 	}
 }
 
-// Pieces under which a server ended wait a moment; others go out meanwhile.
-func TestPiecesUnderWhichAServerEndedWaitAMoment(t *testing.T) {
+// After a server crash, the pieces that it ran wait a moment; other jobs are sent meanwhile.
+func TestPiecesWaitAfterAServerCrash(t *testing.T) {
 	s := NewScheduler(batch)
 	held, other := job("a", 1, 0, time.Second, 5*time.Second), job("b", 1, 0, time.Second, 5*time.Second)
 	held.NotBefore = epoch.Add(30 * time.Millisecond)
--- a/pkg/stagecall/send.go
+++ b/pkg/stagecall/send.go
@@ -75,10 +75,10 @@
 	return results, err
 }
 
-// errNoCallsWanted keeps a call from a server that wants none.
-var errNoCallsWanted = errors.New("stagecall: the server wants no calls now")
+// errNoCallsWanted means that a call was not sent because the server asked for no more calls.
+var errNoCallsWanted = errors.New("stagecall: server accepts no calls now")
 
-// checkOpen returns errNotOpen when a server said that it wants no calls now.
+// checkOpen returns errNoCallsWanted if a server asked for no calls for now.
 func (r *Runner) checkOpen(v directory.Server) error {
 	if r.opts.View.Open(v, time.Now()) {
 		return nil
@@ -86,7 +86,7 @@
 	return errNoCallsWanted
 }
 
-// applyNotice takes over what a server said of itself in an answer.
+// applyNotice records what a server said about itself in an answer, and logs it if the server wants no more calls.
 func (r *Runner) applyNotice(v directory.Server, n holdoff.Notice) {
 	if r.opts.View.Noticed(v, n, time.Now()) {
 		r.opts.Log.Info("server wants no more calls", "service", v.Service, "server", v.ID, "incarnation", v.Incarnation(),
@@ -94,17 +94,18 @@
 	}
 }
 
-// errRepeatedAnswer means that a server sent an earlier answer once more; the one to the call may come behind it.
+// errRepeatedAnswer means that a server sent an earlier answer again; the answer to this call may follow on the connection.
 var errRepeatedAnswer = errors.New("stagecall: the answer holds results of an earlier call")
 
-// repeated reports whether a result is known from an earlier call. Answers to stage calls bear no id of the call.
+// repeated reports whether any result is known from an earlier call. Responses to stage calls carry no call ID, so this is
+// how a duplicate response is detected.
 func (p *pool) repeated(server string, results []dialect.PieceResult) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sched.Repeated(server, results)
 }
 
-// queryRoom asks a server for its free room.
+// queryRoom queries a server for its room and records the answer.
 func (p *pool) queryRoom(v Server) {
 	free, err := p.runner.fetchRoom(v)
 	now := time.Now()
--- a/pkg/stagecall/alone_test.go
+++ b/pkg/stagecall/standalone_test.go
@@ -10,9 +10,9 @@
 	"github.com/daisyhatch/daisyhatch/pkg/dialect"
 )
 
-// Replays three seconds without control VMs at which each VM has more jobs than it may have made: together they ask for no
-// more than the servers work on and queue, and for most of it.
-func TestVMsThatCallAloneFitIntoTheServers(t *testing.T) {
+// Simulates three seconds without control VMs in which each VM has more jobs than it may run: together the VMs start no more
+// than the servers can process and queue, and at least half of that.
+func TestStandaloneVMsStayWithinServerCapacity(t *testing.T) {
 	const span = 3 * time.Second
 	for _, vms := range []int{7, 18, 68, 295} {
 		for _, n := range []int{3, 42} {
@@ -30,18 +30,18 @@
 			require.Greater(t, float64(admitted), capacity/2, "%d VMs, %d servers", vms, n)
 		}
 	}
-	require.Zero(t, AloneRate(batch, 42, 0), "the other VMs are not known")
+	require.Zero(t, AloneRate(batch, 42, 0), "the number of VMs is unknown")
 }
 
-func TestPaceBeginsAnewAfterALongTime(t *testing.T) {
+func TestLimiterResetsAfterALongPause(t *testing.T) {
 	var p Limiter
 	require.True(t, p.Allow(1, 0.9, epoch))
 	require.False(t, p.Allow(0, 0.9, epoch.Add(time.Second)))
 	require.True(t, p.Allow(0, 0.9, epoch.Add(time.Second+standaloneReset+1)))
 }
 
-// Replays the first calls of 295 VMs that lost all control VMs at once: their first choices spread over the servers.
-func TestVMsThatCallAloneBeginAtDifferentServers(t *testing.T) {
+// Simulates the first calls of 295 VMs that lost all control VMs at once: their first choices spread over all servers.
+func TestStandaloneVMsStartAtDifferentServers(t *testing.T) {
 	first := map[string]int{}
 	for vm := range 295 {
 		v := servers(42)
@@ -58,6 +58,6 @@
 	}
 	require.Len(t, first, 42)
 	for id, n := range first {
-		require.Less(t, n, 3*295/42, "VMs that begin at %s", id)
+		require.Less(t, n, 3*295/42, "VMs that start at %s", id)
 	}
 }
