--- a/pkg/stageclient/freer.go
+++ b/pkg/stageclient/freer.go
@@ -16,57 +16,58 @@
 )
 
 const (
-	// freeBatch is how long results to give up are gathered for one message.
-	freeBatch = 20 * time.Millisecond
-	// freeTimeout bounds the message; servers release what stays after a time.
+	// freeInterval is how long handles are collected for one message to an owner.
+	freeInterval = 20 * time.Millisecond
+	// freeTimeout limits a message to an owner. If it fails, the servers drop the results once they expire.
 	freeTimeout = time.Second
 )
 
-// Owners tells who owns the calls of servers.
+// Owners finds the control VM that owns the calls of a server.
 type Owners interface {
-	// OwnerAt returns the owner of the calls of the server at an address.
+	// OwnerAt returns the owner of the calls of the server at an address; false if there is none.
 	OwnerAt(address string) (stageowner.Owner, bool)
 }
 
-// Freer gives results of stages up through the control VMs that keep the books on the servers' room. It is safe for
-// concurrent use.
+// Freer releases stage results through the control VMs that own the calls of the servers, since these VMs track the servers'
+// memory for results. It is safe for concurrent use.
 type Freer struct {
-	known Owners
-	own   string
-	http  *http.Client
-	local *stagecall.Runner
-	log   logr.Logger
+	owners     Owners
+	ownAddress string
+	http       *http.Client
+	runner     *stagecall.Runner
+	log        logr.Logger
 
-	mu    sync.Mutex
-	free  map[string][]string
-	timer *time.Timer
+	mu      sync.Mutex
+	pending map[string][]string
+	timer   *time.Timer
 }
 
-// NewFreer returns a Freer. own is the VM's peer address, empty on a VM that owns nothing; local tells servers itself.
-func NewFreer(known Owners, own string, h *http.Client, local *stagecall.Runner, log logr.Logger) *Freer {
-	return &Freer{known: known, own: own, http: h, local: local, log: log, free: make(map[string][]string)}
+// NewFreer returns a Freer. ownAddress is the VM's own peer address, empty on a VM that can't own services. runner releases
+// the results that have no other owner.
+func NewFreer(owners Owners, ownAddress string, h *http.Client, runner *stagecall.Runner, log logr.Logger) *Freer {
+	return &Freer{owners: owners, ownAddress: ownAddress, http: h, runner: runner, log: log, pending: make(map[string][]string)}
 }
 
-// Free gives results up; it doesn't wait.
+// Free releases results. It does not block.
 func (f *Freer) Free(handles []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, h := range handles {
-		if o, ok := f.known.OwnerAt(stagecall.AddressOf(h)); ok && o.Address != f.own {
-			f.free[o.Address] = append(f.free[o.Address], h)
+		if o, ok := f.owners.OwnerAt(stagecall.AddressOf(h)); ok && o.Address != f.ownAddress {
+			f.pending[o.Address] = append(f.pending[o.Address], h)
 		} else {
-			f.local.Free([]string{h})
+			f.runner.Free([]string{h})
 		}
 	}
-	if f.timer == nil && len(f.free) > 0 {
-		f.timer = time.AfterFunc(freeBatch, f.flush)
+	if f.timer == nil && len(f.pending) > 0 {
+		f.timer = time.AfterFunc(freeInterval, f.flush)
 	}
 }
 
 func (f *Freer) flush() {
 	f.mu.Lock()
-	all := f.free
-	f.free = make(map[string][]string)
+	all := f.pending
+	f.pending = make(map[string][]string)
 	f.timer = nil
 	f.mu.Unlock()
 	for owner, handles := range all {
@@ -81,6 +82,6 @@
 	if _, err := client.StageFree(ctx, connect.NewRequest(&daisyhatchv1.StageFreeRequest{Handles: handles})); err != nil {
 		f.log.Info("results given up without the control VM that had them made", "control", owner, "count", len(handles),
 			"reason", err.Error())
-		f.local.Free(handles)
+		f.runner.Free(handles)
 	}
 }
--- a/pkg/stageclient/stageclient.go
+++ b/pkg/stageclient/stageclient.go
@@ -1,4 +1,4 @@
-// Package stageclient has a request's stage work done on the control VM that forms the calls of a service.
+// Package stageclient runs a request's stages on the control VM that owns the stage calls of a service.
 package stageclient
 
 import (
@@ -22,66 +22,67 @@
 	"github.com/daisyhatch/daisyhatch/pkg/stageowner"
 )
 
-// Knowledge is what a Client knows of the system.
-type Knowledge interface {
-	// StageOwner returns the owner of a service's calls, and a channel that is closed when any owner changes.
+// OwnerSource provides the owners that this VM knows, and records new ones.
+type OwnerSource interface {
+	// StageOwner returns the owner of a service's calls, and a channel that is closed when the owner of any service changes.
 	StageOwner(service string) (stageowner.Owner, <-chan struct{})
 	Owners
-	// LearnOwner takes over an owner with a higher term.
+	// LearnOwner records an owner if its term is higher than the known one.
 	LearnOwner(o stageowner.Owner)
 }
 
-// Client has stage work done on the control VM that owns the calls of a service, as the control group agreed: the pieces
-// of all requests meet on one. A job whose owner is lost goes to the next one.
+// Client runs stages on the control VM that owns the calls of a service, as agreed by the control group, so that the pieces
+// of all requests are scheduled in one place. If the owner is lost, the job is sent to the next owner. It is safe for
+// concurrent use.
 type Client struct {
-	known Knowledge
-	// heard reports whether any control VM is heard.
-	heard func() bool
-	http  *http.Client
-	local *stagecall.Runner
-	// rate is how many jobs of a service this VM may have made alone in a second.
-	rate func(service string, now time.Time) float64
-	// start is this VM's place among those that begin to call alone together.
-	start float64
-	// freer gives results up.
+	owners OwnerSource
+	// controlHeard reports whether this VM hears any control VM.
+	controlHeard func() bool
+	http         *http.Client
+	runner       *stagecall.Runner
+	// standaloneRate is the number of jobs of a service per second that this VM may run by itself.
+	standaloneRate func(service string, now time.Time) float64
+	// startOffset, in [0, 1), is this VM's random position among those that start to run jobs by themselves at the same time.
+	startOffset float64
+	// freer releases results.
 	freer *Freer
 	log   logr.Logger
 
 	mu sync.Mutex
-	// alone admits the jobs of each service that are made alone.
-	alone map[string]*stagecall.Limiter
+	// limiters limits, for each service, the jobs that this VM runs by itself.
+	limiters map[string]*stagecall.Limiter
 }
 
 const (
-	// ownerPause is the pause before an owner that could not be reached is asked again: a restart takes a second.
-	ownerPause = 100 * time.Millisecond
-	// ownerWait is how long a job may wait for an owner: a lost one is replaced within a second; when all control VMs stop
-	// at once, they are back within two and have a leader within three. No job waits for more than ownerWaitShare of its
-	// time, so that its caller can still come back.
-	ownerWait      = 3 * time.Second
-	ownerWaitShare = 0.5
-	// ownerRetry is when a caller may come back whose job found no owner.
-	ownerRetry = 1500 * time.Millisecond
+	// ownerRetryInterval is the pause before an owner is tried again that could not be reached; a restart takes a second.
+	ownerRetryInterval = 100 * time.Millisecond
+	// maxOwnerWait is how long a job may wait for an owner. A lost owner is replaced within a second; if all control VMs
+	// stop at once, they are back within two seconds and have a leader within three. A job waits at most for the share
+	// maxOwnerWaitShare of its remaining time, so that its caller has time for a retry.
+	maxOwnerWait      = 3 * time.Second
+	maxOwnerWaitShare = 0.5
+	// noOwnerRetryAfter is the time after which the caller of a job that found no owner should retry.
+	noOwnerRetryAfter = 1500 * time.Millisecond
 )
 
-// Options are what a Client is made from.
+// Options configures a Client.
 type Options struct {
-	Known Knowledge
-	// Heard reports whether any control VM is heard.
+	Known OwnerSource
+	// Heard reports whether this VM hears any control VM.
 	Heard func() bool
 	HTTP  *http.Client
-	// Local makes calls for this VM's requests alone while no control VM is heard: smaller ones, and no more jobs of a
-	// service in a second than Rate says.
+	// Local makes the calls for this VM's own requests while it hears no control VM. Its calls hold fewer pieces. Rate
+	// limits the jobs of a service that it runs, in jobs per second.
 	Local *stagecall.Runner
 	Rate  func(service string, now time.Time) float64
 	Log   logr.Logger
 }
 
-// New returns a Client.
+// New returns a Client with a random start offset.
 func New(o Options) *Client {
 	return &Client{
-		known: o.Known, heard: o.Heard, http: o.HTTP, local: o.Local, rate: o.Rate,
-		start: rand.Float64(), alone: make(map[string]*stagecall.Limiter), freer: NewFreer(o.Known, "", o.HTTP, o.Local, o.Log), log: o.Log,
+		owners: o.Known, controlHeard: o.Heard, http: o.HTTP, runner: o.Local, standaloneRate: o.Rate,
+		startOffset: rand.Float64(), limiters: make(map[string]*stagecall.Limiter), freer: NewFreer(o.Known, "", o.HTTP, o.Local, o.Log), log: o.Log,
 	}
 }
 
@@ -89,18 +90,18 @@
 var (
 	errOwnerLost = errors.New("stageclient: another control VM owns the service's calls now")
 	errNotOwner  = errors.New("stageclient: the control VM does not own the service's calls")
-	// errNoResults ends a call whose answer held no results.
+	// errNoResults means that the response ended without results.
 	errNoResults = errors.New("stageclient: the answer ended without results")
 )
 
-// Run implements relay.Stages. A job whose owner can't be reached is tried again, at the owner that the group names by
-// then.
+// Run implements relay.Stages. A job whose owner can't be reached is sent again, to the owner known by then. It returns a
+// *relay.StageRefused if the stage was refused, a piece failed, or no owner was found in time.
 func (c *Client) Run(ctx context.Context, q relay.StageRequest) ([]relay.StageResult, error) {
-	patience := time.Now().Add(min(ownerWait, time.Duration(ownerWaitShare*float64(time.Until(q.Deadline)))))
+	giveUpAt := time.Now().Add(min(maxOwnerWait, time.Duration(maxOwnerWaitShare*float64(time.Until(q.Deadline)))))
 	for {
-		owner, changed := c.known.StageOwner(q.Service)
+		owner, changed := c.owners.StageOwner(q.Service)
 		if owner.Address != "" {
-			results, err := c.runAt(ctx, owner, q)
+			results, err := c.runOnOwner(ctx, owner, q)
 			var refused *relay.StageRefused
 			if err == nil || errors.As(err, &refused) || ctx.Err() != nil {
 				return results, err
@@ -109,58 +110,58 @@
 				"term", owner.Term, "reason", err.Error())
 		}
 		switch now := time.Now(); {
-		case !c.heard() && c.mayRunAlone(q.Service, now):
-			res, err := c.local.Run(ctx, request(q, 0), q.InputsRead)
+		case !c.controlHeard() && c.allowStandalone(q.Service, now):
+			res, err := c.runner.Run(ctx, request(q, 0), q.InputsRead)
 			if err != nil {
 				return nil, fmt.Errorf("stageclient: %w", err)
 			}
-			return c.results(res)
-		case now.After(patience):
-			return nil, &relay.StageRefused{RetryAfter: ownerRetry, Reason: "no control VM forms the calls of the service now"}
+			return c.parseResponse(res)
+		case now.After(giveUpAt):
+			return nil, &relay.StageRefused{RetryAfter: noOwnerRetryAfter, Reason: "no control VM forms the calls of the service now"}
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-changed:
-		case <-time.After(ownerPause):
+		case <-time.After(ownerRetryInterval):
 		}
 	}
 }
 
-// mayRunAlone admits a job of a service to be made by this VM itself.
-func (c *Client) mayRunAlone(service string, now time.Time) bool {
-	rate := c.rate(service, now)
+// allowStandalone reports whether this VM may run one more job of a service by itself, and counts it if so.
+func (c *Client) allowStandalone(service string, now time.Time) bool {
+	standaloneRate := c.standaloneRate(service, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.alone[service]
+	p := c.limiters[service]
 	if p == nil {
 		p = &stagecall.Limiter{}
-		c.alone[service] = p
+		c.limiters[service] = p
 	}
-	return p.Allow(rate, c.start, now)
+	return p.Allow(standaloneRate, c.startOffset, now)
 }
 
-// runAt has a job done by an owner. A new owner that did not take over in order ends the wait.
-func (c *Client) runAt(ctx context.Context, o stageowner.Owner, q relay.StageRequest) ([]relay.StageResult, error) {
+// runOnOwner runs a job on an owner. It gives up if the service gets a new owner without an orderly handover.
+func (c *Client) runOnOwner(ctx context.Context, o stageowner.Owner, q relay.StageRequest) ([]relay.StageResult, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	go c.watch(ctx, o, func() { cancel(errOwnerLost) })
+	go c.watchOwner(ctx, o, func() { cancel(errOwnerLost) })
 	client := daisyhatchv1connect.NewFleetServiceClient(c.http, "http://"+o.Address)
 	stream, err := client.StageRun(ctx, connect.NewRequest(request(q, o.Term)))
 	if err != nil {
 		return nil, fmt.Errorf("stageclient: stage call: %w", errors.Join(context.Cause(ctx), err))
 	}
 	defer func() {
-		// The stream is over or given up; an error of the close says nothing more.
+		// The stream has ended or was cancelled; an error from Close adds nothing.
 		_ = stream.Close()
 	}()
 	for stream.Receive() {
 		if other := stream.Msg().GetOwner(); other != nil {
-			c.known.LearnOwner(stageowner.FromWire(other))
+			c.owners.LearnOwner(stageowner.FromWire(other))
 			return nil, errNotOwner
 		}
 		if !stream.Msg().GetInputsRead() {
-			return c.results(stream.Msg())
+			return c.parseResponse(stream.Msg())
 		}
 		if q.InputsRead != nil {
 			q.InputsRead()
@@ -169,12 +170,12 @@
 	return nil, fmt.Errorf("stageclient: stage call: %w", errors.Join(context.Cause(ctx), stream.Err(), errNoResults))
 }
 
-// watch calls lost once a service has another owner that did not take over in order.
-func (c *Client) watch(ctx context.Context, o stageowner.Owner, lost func()) {
+// watchOwner calls onLost once a service has a new owner without an orderly handover. It returns when ctx ends.
+func (c *Client) watchOwner(ctx context.Context, o stageowner.Owner, onLost func()) {
 	for {
-		now, changed := c.known.StageOwner(o.Service)
+		now, changed := c.owners.StageOwner(o.Service)
 		if now.Term > o.Term && now.Address != o.Address && !now.Orderly {
-			lost()
+			onLost()
 			return
 		}
 		select {
@@ -185,7 +186,7 @@
 	}
 }
 
-// request describes a stage by the time left, since VMs don't share a clock.
+// request builds the message for a stage. It gives times as remaining milliseconds, since VMs don't share a clock.
 func request(q relay.StageRequest, term uint64) *daisyhatchv1.StageRunRequest {
 	now := time.Now()
 	req := &daisyhatchv1.StageRunRequest{
@@ -201,7 +202,7 @@
 	return req
 }
 
-func (c *Client) results(m *daisyhatchv1.StageRunResponse) ([]relay.StageResult, error) {
+func (c *Client) parseResponse(m *daisyhatchv1.StageRunResponse) ([]relay.StageResult, error) {
 	if m.GetRefused() {
 		wait := time.Duration(m.GetRetryAfterMs()) * time.Millisecond
 		return nil, &relay.StageRefused{RetryAfter: wait, Reason: cmp.Or(m.GetReason(), "the queue is too long for the deadline")}
@@ -211,7 +212,7 @@
 	for _, r := range m.GetResults() {
 		if r.GetHandle() == "" {
 			failed = &relay.StageRefused{
-				RetryAfter: pieceRetry, Reason: "a piece was not made: " + r.GetReason(),
+				RetryAfter: pieceRetryAfter, Reason: "a piece was not made: " + r.GetReason(),
 				Lost: r.GetReason() == dialect.ReasonGone || r.GetReason() == dialect.ReasonError,
 			}
 			continue
@@ -221,8 +222,8 @@
 	return out, failed
 }
 
-// pieceRetry is when a request may come back of which a piece could not be made: about a call's time.
-const pieceRetry = 300 * time.Millisecond
+// pieceRetryAfter is the time after which a request with a failed piece should retry, about one call.
+const pieceRetryAfter = 300 * time.Millisecond
 
 // Free implements relay.Stages.
 func (c *Client) Free(handles []string) { c.freer.Free(handles) }
--- a/pkg/stageclient/stageclient_test.go
+++ b/pkg/stageclient/stageclient_test.go
@@ -25,39 +25,39 @@
 	"github.com/daisyhatch/daisyhatch/pkg/stageowner"
 )
 
-// knowledge is a Knowledge that the test sets.
-type knowledge struct {
-	mu    sync.Mutex
-	owner stageowner.Owner
-	wake  chan struct{}
+// fakeOwners is an OwnerSource whose owner the test sets.
+type fakeOwners struct {
+	mu      sync.Mutex
+	owner   stageowner.Owner
+	changed chan struct{}
 }
 
-func (k *knowledge) StageOwner(string) (stageowner.Owner, <-chan struct{}) {
+func (k *fakeOwners) StageOwner(string) (stageowner.Owner, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.owner, k.wake
+	return k.owner, k.changed
 }
 
-func (k *knowledge) OwnerAt(string) (stageowner.Owner, bool) { return stageowner.Owner{}, false }
+func (k *fakeOwners) OwnerAt(string) (stageowner.Owner, bool) { return stageowner.Owner{}, false }
 
-func (k *knowledge) LearnOwner(o stageowner.Owner) {
+func (k *fakeOwners) LearnOwner(o stageowner.Owner) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o.Term > k.owner.Term {
 		k.owner = o
-		close(k.wake)
-		k.wake = make(chan struct{})
+		close(k.changed)
+		k.changed = make(chan struct{})
 	}
 }
 
-// control is a control VM that answers jobs as the test says.
-type control struct {
+// fakeControl is a control VM that answers each job with run, and counts the jobs.
+type fakeControl struct {
 	daisyhatchv1connect.UnimplementedFleetServiceHandler
 	jobs atomic.Int32
 	run  func(ctx context.Context) (*daisyhatchv1.StageRunResponse, error)
 }
 
-func (c *control) StageRun(
+func (c *fakeControl) StageRun(
 	ctx context.Context, _ *connect.Request[daisyhatchv1.StageRunRequest], s *connect.ServerStream[daisyhatchv1.StageRunResponse],
 ) error {
 	c.jobs.Add(1)
@@ -68,7 +68,7 @@
 	return s.Send(r)
 }
 
-func (c *control) start(t *testing.T) string {
+func (c *fakeControl) start(t *testing.T) string {
 	path, h := daisyhatchv1connect.NewFleetServiceHandler(c)
 	mux := http.NewServeMux()
 	mux.Handle(path, h)
@@ -77,23 +77,23 @@
 	return s.Listener.Addr().String()
 }
 
-func made(context.Context) (*daisyhatchv1.StageRunResponse, error) {
+func succeed(context.Context) (*daisyhatchv1.StageRunResponse, error) {
 	return &daisyhatchv1.StageRunResponse{Results: []*daisyhatchv1.StagePieceResult{{Handle: "10.0.0.1:1/x"}}}, nil
 }
 
-// limited ends a job that would wait for ever.
-func limited(t *testing.T) context.Context {
+// testContext returns a context that ends a job that would otherwise hang.
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func hangs(ctx context.Context) (*daisyhatchv1.StageRunResponse, error) {
+func hang(ctx context.Context) (*daisyhatchv1.StageRunResponse, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// noServices knows no service, so that a call made alone fails at once.
+// noServices is a stagecall.View without services, so that a job run on this VM itself fails at once.
 type noServices struct{}
 
 func (noServices) Catalog() *catalog.Set                        { return nil }
@@ -105,13 +105,13 @@
 	return false
 }
 
-func newClient(k *knowledge, heard bool) *Client {
+func newClient(k *fakeOwners, heard bool) *Client {
 	local := stagecall.NewRunner(stagecall.Options{View: noServices{}, Log: logr.Discard()})
 	c := New(Options{
 		Known: k, Heard: func() bool { return heard }, HTTP: http.DefaultClient, Local: local,
 		Rate: func(string, time.Time) float64 { return 0 }, Log: logr.Discard(),
 	})
-	c.start = 0.6 // one job at once
+	c.startOffset = 0.6 // one job at once
 	return c
 }
 
@@ -119,66 +119,66 @@
 	return relay.StageRequest{Service: "s", Count: 1, Deadline: time.Now().Add(10 * time.Second)}
 }
 
-func known(o stageowner.Owner) *knowledge {
+func ownedBy(o stageowner.Owner) *fakeOwners {
 	o.Service = "s"
-	return &knowledge{owner: o, wake: make(chan struct{})}
+	return &fakeOwners{owner: o, changed: make(chan struct{})}
 }
 
-// A job whose owner is silent must go to the next owner as soon as the group has named one, and to nobody before: a VM
-// that judges for itself makes a second caller of the same servers.
-func TestJobFollowsTheOwnerThatTheGroupNames(t *testing.T) {
-	first, second := &control{run: hangs}, &control{run: made}
-	k := known(stageowner.Owner{Address: first.start(t), Term: 1})
+// If an owner does not answer, the job must go to the next owner as soon as the control group has named one, and to no VM
+// before: a VM that decides by itself would call the same servers as the owner.
+func TestJobMovesToTheNextAgreedOwner(t *testing.T) {
+	first, second := &fakeControl{run: hang}, &fakeControl{run: succeed}
+	k := ownedBy(stageowner.Owner{Address: first.start(t), Term: 1})
 	c := newClient(k, true)
 	time.AfterFunc(300*time.Millisecond, func() {
 		k.LearnOwner(stageowner.Owner{Service: "s", Address: second.start(t), Term: 2})
 	})
 	begin := time.Now()
-	r, err := c.Run(limited(t), job())
+	r, err := c.Run(testContext(t), job())
 	require.NoError(t, err)
 	require.Len(t, r, 1)
 	require.GreaterOrEqual(t, time.Since(begin), 300*time.Millisecond)
 	require.EqualValues(t, 1, first.jobs.Load())
 }
 
-// An owner that hands its service over in order finishes the jobs that it has.
-func TestOrderlyHandoverLeavesJobsWhereTheyAre(t *testing.T) {
-	second := &control{run: made}
-	first := &control{run: func(ctx context.Context) (*daisyhatchv1.StageRunResponse, error) {
+// An owner that hands over its service in order finishes the jobs that it has.
+func TestOrderlyHandoverKeepsRunningJobs(t *testing.T) {
+	second := &fakeControl{run: succeed}
+	first := &fakeControl{run: func(ctx context.Context) (*daisyhatchv1.StageRunResponse, error) {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-time.After(400 * time.Millisecond):
 		}
-		return made(ctx)
+		return succeed(ctx)
 	}}
-	k := known(stageowner.Owner{Address: first.start(t), Term: 1})
+	k := ownedBy(stageowner.Owner{Address: first.start(t), Term: 1})
 	c := newClient(k, true)
 	time.AfterFunc(100*time.Millisecond, func() {
 		k.LearnOwner(stageowner.Owner{Service: "s", Term: 2, Orderly: true})
 		k.LearnOwner(stageowner.Owner{Service: "s", Address: second.start(t), Term: 3, Orderly: true})
 	})
-	_, err := c.Run(limited(t), job())
+	_, err := c.Run(testContext(t), job())
 	require.NoError(t, err)
 	require.EqualValues(t, 1, first.jobs.Load())
 	require.Zero(t, second.jobs.Load())
 }
 
-// A VM that is no owner says who is; the caller goes there though it has not heard of the change itself.
-func TestVMThatDoesNotOwnTheServiceNamesTheOwner(t *testing.T) {
-	second := &control{run: made}
+// A VM that is not the owner replies with the owner, and the caller uses it even if it has not heard of the change itself.
+func TestNonOwnerRedirectsToTheOwner(t *testing.T) {
+	second := &fakeControl{run: succeed}
 	address := second.start(t)
-	first := &control{run: func(context.Context) (*daisyhatchv1.StageRunResponse, error) {
+	first := &fakeControl{run: func(context.Context) (*daisyhatchv1.StageRunResponse, error) {
 		return &daisyhatchv1.StageRunResponse{Owner: &daisyhatchv1.StageOwner{Service: "s", Address: address, Term: 5}}, nil
 	}}
-	c := newClient(known(stageowner.Owner{Address: first.start(t), Term: 1}), true)
-	_, err := c.Run(limited(t), job())
+	c := newClient(ownedBy(stageowner.Owner{Address: first.start(t), Term: 1}), true)
+	_, err := c.Run(testContext(t), job())
 	require.NoError(t, err)
 	require.EqualValues(t, 1, second.jobs.Load())
 }
 
-// While control VMs are heard and no owner can be reached, a job is refused in time rather than made alone: its caller has
-// half of the time left to come back.
+// While control VMs are heard but no owner can be reached, a job is refused in time rather than run by the VM itself: half of
+// the time remains for the caller to retry.
 func TestJobWithoutAnOwnerIsRefusedWhileControlVMsAreHeard(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -189,7 +189,7 @@
 			begin := time.Now()
 			q := job()
 			q.Deadline = begin.Add(2 * time.Second)
-			_, err := newClient(known(o), true).Run(limited(t), q)
+			_, err := newClient(ownedBy(o), true).Run(testContext(t), q)
 			var refused *relay.StageRefused
 			require.True(t, errors.As(err, &refused), "%v", err)
 			require.Less(t, time.Since(begin), 1500*time.Millisecond)
@@ -198,17 +198,17 @@
 	}
 }
 
-// A VM that hears no control VM makes its share of calls alone; what goes beyond waits for an owner.
-func TestVMThatHearsNoControlVMMakesItsShareAlone(t *testing.T) {
-	k := known(stageowner.Owner{})
+// A VM that hears no control VM runs its share of jobs by itself; further jobs wait for an owner.
+func TestStandaloneVMRunsOnlyItsShare(t *testing.T) {
+	k := ownedBy(stageowner.Owner{})
 	c := newClient(k, false)
-	_, err := c.Run(limited(t), job())
+	_, err := c.Run(testContext(t), job())
 	require.ErrorIs(t, err, stagecall.ErrUnknownService)
-	back := &control{run: made}
+	back := &fakeControl{run: succeed}
 	time.AfterFunc(200*time.Millisecond, func() {
 		k.LearnOwner(stageowner.Owner{Service: "s", Address: back.start(t), Term: 1})
 	})
-	_, err = c.Run(limited(t), job())
+	_, err = c.Run(testContext(t), job())
 	require.NoError(t, err)
 	require.EqualValues(t, 1, back.jobs.Load())
 }
--- a/pkg/stageowner/plan.go
+++ b/pkg/stageowner/plan.go
@@ -8,13 +8,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Times of the plan.
+// Times that decide when a service gets a new owner.
 const (
-	// LostAfter is the silence from which a member's services go to others: eight of the control group's heartbeats. A
-	// member that was not confirmed by a leader for as long forms no calls, so that a service never has two that do.
+	// LostAfter is the silence after which a member's services are given to others: eight of the control group's heartbeats.
+	// A member that no leader has confirmed for this long makes no calls, so that a service never has two active owners.
 	LostAfter = 800 * time.Millisecond
-	// SettledAfter is how long a member must have been heard before it gets a service from one that has several. A
-	// change of hands costs about a second of stage calls.
+	// SettledAfter is how long a member must have been heard before a service moves to it from a live owner, and the
+	// minimum time between such a move and the previous change. A change of owner costs about a second of stage calls.
 	SettledAfter = 10 * time.Second
 )
 
@@ -23,25 +23,26 @@
 	Address string
 	// Leads is true for the leader itself.
 	Leads bool
-	// Silence is how long the leader has not heard it, Steady how long it has been heard without a gap of LostAfter.
+	// Silence is the time since the leader last heard it; Steady is how long it has been heard without a gap of LostAfter.
 	Silence, Steady time.Duration
 }
 
 func (m *Member) live() bool { return m.Silence < LostAfter }
 
-// Change is a service's next owner.
+// Change proposes the next owner of a service.
 type Change struct {
 	Service string
 	Address string
-	// BaseTerm is the term that the change is made from.
+	// BaseTerm is the service's current term; the change is rejected if the term has advanced since.
 	BaseTerm uint64
-	Orderly  bool
+	// Orderly is true if the previous owner is alive and finishes its jobs.
+	Orderly bool
 }
 
-// Plan returns the changes to make now: each service without a live owner gets the live member with the fewest services,
-// the leader last, since it carries the log. When all have one, a service may move in order from a member that has
-// several, or that leads, to a settled one that has none; lastChange is how long ago an owner was changed. A member that
-// comes back gets nothing back at once.
+// Plan returns the changes to make now. Each service without a live owner is given to the live member with the fewest
+// services; leading counts as one service, since the leader replicates the log. If all services have a live owner and
+// lastChange, the time since the last change, is at least SettledAfter, one service may move in order from a member with
+// a load of two or more to a settled member without any. A member that returns gets no services back until then.
 func Plan(services []string, owners []Owner, members []Member, lastChange time.Duration) []Change {
 	byService := make(map[string]Owner, len(owners))
 	for _, o := range owners {
@@ -58,16 +59,16 @@
 			load[m.Address]++
 		}
 	}
-	var orphans []string
+	var unowned []string
 	for _, s := range services {
 		if _, ok := live[byService[s].Address]; ok {
 			load[byService[s].Address]++
 		} else {
-			orphans = append(orphans, s)
+			unowned = append(unowned, s)
 		}
 	}
 	var out []Change
-	for _, s := range orphans {
+	for _, s := range unowned {
 		to, ok := leastLoaded(s, live, load, 0)
 		if !ok {
 			return out
@@ -82,7 +83,7 @@
 	return balance(services, byService, live, load)
 }
 
-// balance moves one service to a settled member that has no work from one that has two parts of it.
+// balance moves one service from a member with a load of at least two to a settled member with none, if there is such a pair.
 func balance(services []string, owners map[string]Owner, live map[string]Member, load map[string]int) []Change {
 	for _, s := range services {
 		o := owners[s]
@@ -94,19 +95,20 @@
 	return nil
 }
 
-// leastLoaded returns the member with the least load that has been steady for so long, by hash among equals.
-func leastLoaded(service string, live map[string]Member, load map[string]int, steady time.Duration) (string, bool) {
-	var fit []string
+// leastLoaded returns the member with the least load among those with a Steady of at least minSteady, and breaks ties by a
+// hash. It returns false if there is none.
+func leastLoaded(service string, live map[string]Member, load map[string]int, minSteady time.Duration) (string, bool) {
+	var eligible []string
 	for a, m := range live {
-		if m.Steady >= steady {
-			fit = append(fit, a)
+		if m.Steady >= minSteady {
+			eligible = append(eligible, a)
 		}
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		return "", false
 	}
 	rank := func(a string) uint64 { return xxhash.Sum64String(service + "\x00" + a) }
-	return slices.MinFunc(fit, func(a, b string) int {
+	return slices.MinFunc(eligible, func(a, b string) int {
 		return cmp.Or(cmp.Compare(load[a], load[b]), cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b))
 	}), true
 }
--- a/pkg/stageowner/stageowner_test.go
+++ b/pkg/stageowner/stageowner_test.go
@@ -16,7 +16,7 @@
 	return &daisyhatchv1.StageOwnerCommand{Service: service, Address: address, BaseTerm: base}
 }
 
-func TestOneOfTwoRacingChangesWins(t *testing.T) {
+func TestOnlyOneOfTwoConcurrentChangesIsAccepted(t *testing.T) {
 	table := New()
 	r, err := table.Apply(command("s", "a", 0))
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 		}
 		back, err := Restore(table.Snapshot())
 		if err != nil || !slices.Equal(back.Owners(), table.Owners()) {
-			t.Fatalf("%v: %v became %v", err, table.Owners(), back.Owners())
+			t.Fatalf("error %v: owners %v restored as %v", err, table.Owners(), back.Owners())
 		}
 	})
 	_, err := Restore([]*daisyhatchv1.StageOwner{{Service: "b"}, {Service: "a"}})
@@ -57,8 +57,8 @@
 
 var services = []string{"check", "encode", "rerank"}
 
-// apply plays a plan into owners.
-func apply(owners []Owner, plan []Change) []Owner {
+// applyPlan returns the owners after the changes of a plan.
+func applyPlan(owners []Owner, plan []Change) []Owner {
 	out := slices.Clone(owners)
 	for _, c := range plan {
 		o := Owner{Service: c.Service, Address: c.Address, Term: c.BaseTerm + 1, Orderly: c.Orderly}
@@ -72,33 +72,33 @@
 }
 
 func TestServicesSpreadOverFollowers(t *testing.T) {
-	owners := apply(nil, Plan(services, nil, members(0, 0, 0, 0, 0), 0))
+	owners := applyPlan(nil, Plan(services, nil, members(0, 0, 0, 0, 0), 0))
 	require.Len(t, owners, len(services))
 	seen := map[string]bool{}
 	for _, o := range owners {
-		require.NotEqual(t, "vm0", o.Address, "the leader has the log to carry")
+		require.NotEqual(t, "vm0", o.Address, "the leader already replicates the log")
 		seen[o.Address] = true
 	}
 	require.Len(t, seen, len(services))
 	require.Empty(t, Plan(services, owners, members(0, 0, 0, 0, 0), time.Hour))
 }
 
-// The load that made 300 VMs collapse: control VMs that are late by less than LostAfter, all the time and in turn. No
-// service may change hands for it.
+// At 300 VMs, control VMs that were late under load caused a collapse. Services must not change owner while members are late,
+// all the time and in turn, by less than LostAfter.
 func TestLateMembersKeepTheirServices(t *testing.T) {
-	owners := apply(nil, Plan(services, nil, members(0, 0, 0, 0, 0), 0))
+	owners := applyPlan(nil, Plan(services, nil, members(0, 0, 0, 0, 0), 0))
 	rapid.Check(t, func(t *rapid.T) {
 		late := func() time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(LostAfter)-1).Draw(t, "silence"))
 		}
 		if plan := Plan(services, owners, members(0, late(), late(), late(), late()), time.Hour); len(plan) > 0 {
-			t.Fatalf("%v", plan)
+			t.Fatalf("unexpected changes %v", plan)
 		}
 	})
 }
 
 func TestOnlyTheServicesOfALostMemberMove(t *testing.T) {
-	owners := apply(nil, Plan(services, nil, members(0, 0, 0, 0, 0), 0))
+	owners := applyPlan(nil, Plan(services, nil, members(0, 0, 0, 0, 0), 0))
 	for i := 1; i < 5; i++ {
 		silences := make([]time.Duration, 5)
 		silences[i] = LostAfter
@@ -108,22 +108,22 @@
 			k := slices.IndexFunc(owners, func(o Owner) bool { return o.Service == c.Service })
 			require.Equal(t, lost, owners[k].Address)
 			require.NotEqual(t, lost, c.Address)
-			require.False(t, c.Orderly, "its jobs are lost")
+			require.False(t, c.Orderly, "a lost owner does not finish its jobs")
 			require.Equal(t, owners[k].Term, c.BaseTerm)
 		}
-		held := 0
+		owned := 0
 		for _, o := range owners {
 			if o.Address == lost {
-				held++
+				owned++
 			}
 		}
-		require.Len(t, plan, held)
+		require.Len(t, plan, owned)
 	}
 }
 
-// Whatever members come and go, each service ends with one owner that lives, and a member that came back a moment ago
-// takes nothing from those that live.
-func TestPlanSettles(t *testing.T) {
+// Whatever members come and go, each service ends up with one live owner, and a member that returned a moment ago takes no
+// service from a live one.
+func TestEveryServiceGetsALiveOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var owners []Owner
 		for range rapid.IntRange(1, 20).Draw(t, "rounds") {
@@ -140,10 +140,10 @@
 			for _, c := range plan {
 				k := slices.IndexFunc(list, func(m Member) bool { return m.Address == c.Address })
 				if list[k].Silence >= LostAfter || c.Orderly && list[k].Steady < SettledAfter {
-					t.Fatalf("%v goes to %v", c, list[k])
+					t.Fatalf("change %v goes to member %v", c, list[k])
 				}
 			}
-			owners = apply(owners, plan)
+			owners = applyPlan(owners, plan)
 			for _, s := range services {
 				k := slices.IndexFunc(owners, func(o Owner) bool { return o.Service == s })
 				if k < 0 || !slices.ContainsFunc(list, func(m Member) bool { return m.Address == owners[k].Address && m.live() }) {
@@ -154,7 +154,7 @@
 	})
 }
 
-func TestServiceMovesInOrderToASettledMember(t *testing.T) {
+func TestBalancingMovesAServiceToASettledMember(t *testing.T) {
 	owners := []Owner{{Service: "check", Address: "vm1", Term: 3}, {Service: "encode", Address: "vm1", Term: 2}, {Service: "rerank", Address: "vm2", Term: 1}}
 	list := members(0, 0, 0, 0)
 	list[3].Steady = SettledAfter - 1
@@ -165,11 +165,11 @@
 	require.Len(t, plan, 1)
 	require.True(t, plan[0].Orderly)
 	require.Equal(t, "vm3", plan[0].Address)
-	require.Empty(t, Plan(services, apply(owners, plan), list, SettledAfter))
+	require.Empty(t, Plan(services, applyPlan(owners, plan), list, SettledAfter))
 }
 
-// A service that its owner gave back before its stop goes on in order.
-func TestReleasedServiceStaysInOrder(t *testing.T) {
+// A service that its owner released before stopping is handed over in order.
+func TestReleasedServiceIsHandedOverInOrder(t *testing.T) {
 	plan := Plan([]string{"check"}, []Owner{{Service: "check", Term: 4, Orderly: true}}, members(0, 0), 0)
 	require.Equal(t, []Change{{Service: "check", Address: "vm1", BaseTerm: 4, Orderly: true}}, plan)
 }
