--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -218,13 +218,13 @@
 	return errors.Join(err, f.node.Stop(ctx))
 }
 
-// aloneRate is how many jobs of a service this VM may have made alone in a second; see stagecall.AloneRate.
+// aloneRate is how many jobs of a service this VM may have made alone in a second; see stagecall.StandaloneRate.
 func (f *fleetEntry) aloneRate(service string, now time.Time) float64 {
 	set := f.state.Catalog()
 	if set == nil || set.Services[service] == nil || set.Services[service].Batch == nil {
 		return 0
 	}
-	return stagecall.AloneRate(*set.Services[service].Batch, len(f.state.Serving(service, now)), len(f.state.Entries(now)))
+	return stagecall.StandaloneRate(*set.Services[service].Batch, len(f.state.Serving(service, now)), len(f.state.Entries(now)))
 }
 
 // stageView shows the State to the stage runner.
@@ -241,7 +241,7 @@
 		out = append(out, stagecall.Server{ID: c.ID, Address: c.Address, Domain: c.Domain, Born: c.Born, Quiet: c.Quiet})
 	}
 	if v.vm != "" {
-		stagecall.SpreadFor(v.vm, out)
+		stagecall.OrderServersFor(v.vm, out)
 	}
 	return out
 }
--- a/pkg/stagecall/standalone.go
+++ b/pkg/stagecall/standalone.go
@@ -24,9 +24,9 @@
 	standaloneReset = 10 * time.Second
 )
 
-// AloneRate returns how many jobs of a service per second one VM may run by itself while vms VMs do so. It returns 0 if
+// StandaloneRate returns how many jobs of a service per second one VM may run by itself while vms VMs do so. It returns 0 if
 // the number of VMs is unknown.
-func AloneRate(b catalog.Batch, servers, vms int) float64 {
+func StandaloneRate(b catalog.Batch, servers, vms int) float64 {
 	if vms <= 0 {
 		return 0
 	}
@@ -58,8 +58,8 @@
 	return true
 }
 
-// SpreadFor sorts servers by a hash of VM and server, so that VMs that make calls by themselves try different servers first.
-func SpreadFor(vm string, servers []Server) {
+// OrderServersFor sorts servers by a hash of VM and server, so that VMs that make calls by themselves try different servers first.
+func OrderServersFor(vm string, servers []Server) {
 	rank := func(s Server) uint64 { return xxhash.Sum64String(vm + "\x00" + s.ID) }
 	slices.SortFunc(servers, func(a, b Server) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.ID, b.ID)) })
 }
--- a/pkg/stagecall/standalone_test.go
+++ b/pkg/stagecall/standalone_test.go
@@ -20,7 +20,7 @@
 			for vm := range vms {
 				var p Limiter
 				for at := time.Duration(0); at < span; at += 50 * time.Millisecond {
-					if p.Allow(AloneRate(batch, n, vms), (float64(vm)+0.5)/float64(vms), epoch.Add(at)) {
+					if p.Allow(StandaloneRate(batch, n, vms), (float64(vm)+0.5)/float64(vms), epoch.Add(at)) {
 						admitted++
 					}
 				}
@@ -30,7 +30,7 @@
 			require.Greater(t, float64(admitted), capacity/2, "%d VMs, %d servers", vms, n)
 		}
 	}
-	require.Zero(t, AloneRate(batch, 42, 0), "the number of VMs is unknown")
+	require.Zero(t, StandaloneRate(batch, 42, 0), "the number of VMs is unknown")
 }
 
 func TestLimiterResetsAfterALongPause(t *testing.T) {
@@ -45,7 +45,7 @@
 	first := map[string]int{}
 	for vm := range 295 {
 		v := servers(42)
-		SpreadFor(fmt.Sprint("entry-", vm), v)
+		OrderServersFor(fmt.Sprint("entry-", vm), v)
 		s := NewScheduler(batch)
 		s.Arrive(job("j", 1, 0, time.Second, 5*time.Second), epoch)
 		s.RoomQueries(v, epoch)
