--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -141,7 +141,7 @@
 		s.refuse(r)
 		return
 	}
-	owner.Arrive(j, s.now)
+	owner.Enqueue(j, s.now)
 	s.dispatch(q, r.owner)
 }
 
@@ -159,7 +159,7 @@
 // dispatch makes the calls of one owner that can be made now.
 func (s *sim) dispatch(q *pool, o int) {
 	owner := q.owners[o]
-	for _, j := range owner.Hopeless(q.known, s.now) {
+	for _, j := range owner.DropInfeasible(q.known, s.now) {
 		s.refuse(s.jobs[j].request)
 	}
 	for {
@@ -182,7 +182,7 @@
 				continue
 			}
 			if len(part.Job.Pieces) == 0 {
-				owner.Add(part.Job, s.now)
+				owner.Requeue(part.Job, s.now)
 			}
 			part.Job.Pieces = append(part.Job.Pieces, p)
 		}
@@ -349,7 +349,7 @@
 		for _, m := range results {
 			q := s.pools[m.pool]
 			q.servers[m.server].held -= m.bytes
-			q.owners[m.owner].Freed(m.server, []string{m.handle})
+			q.owners[m.owner].ResultsReleased(m.server, []string{m.handle})
 		}
 	})
 }
--- a/pkg/stagecall/forecast.go
+++ b/pkg/stagecall/forecast.go
@@ -42,8 +42,8 @@
 	s.jobs = slices.DeleteFunc(s.jobs, func(k *Job) bool { return k == j })
 }
 
-// Hopeless removes and returns the jobs that are not expected to finish before their deadline.
-func (s *Scheduler) Hopeless(servers []Server, now time.Time) []*Job {
+// DropInfeasible removes and returns the jobs that are not expected to finish before their deadline.
+func (s *Scheduler) DropInfeasible(servers []Server, now time.Time) []*Job {
 	if len(s.jobs) == 0 {
 		return nil
 	}
--- a/pkg/stagecall/pool.go
+++ b/pkg/stagecall/pool.go
@@ -77,7 +77,7 @@
 		return
 	}
 	p.checkedAt = now
-	for _, j := range p.sched.Hopeless(servers, now) {
+	for _, j := range p.sched.DropInfeasible(servers, now) {
 		for _, piece := range j.Pieces {
 			j.resultsTo.setResult(piece, dialect.PieceResult{Reason: dialect.ReasonLate}, "")
 		}
@@ -97,7 +97,7 @@
 	p.budget.Attempt(now)
 	p.checkSuspect(w.job)
 	w.job.resultsTo = w
-	p.sched.Arrive(w.job, now)
+	p.sched.Enqueue(w.job, now)
 	p.mu.Unlock()
 	p.dispatch()
 	return 0, true
@@ -273,7 +273,7 @@
 			j.NotBefore = now.Add(quarantine.SettleTime)
 		}
 		if len(j.Pieces) == 0 {
-			p.sched.Add(j, now)
+			p.sched.Requeue(j, now)
 		}
 		j.Pieces = append(j.Pieces, piece)
 		if c.inputsRead {
--- a/pkg/stagecall/queue.go
+++ b/pkg/stagecall/queue.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Add puts a job back into the queue, without counting it as an arrival.
-func (s *Scheduler) Add(j *Job, now time.Time) {
+// Requeue puts a job back into the queue, without counting it as an arrival.
+func (s *Scheduler) Requeue(j *Job, now time.Time) {
 	s.updateLate(j, now)
 	s.insert(j)
 }
--- a/pkg/stagecall/release.go
+++ b/pkg/stagecall/release.go
@@ -112,7 +112,7 @@
 	for _, p := range pools {
 		p.mu.Lock()
 		if id, ok := p.serverIDs[address]; ok {
-			p.sched.Freed(id, handles)
+			p.sched.ResultsReleased(id, handles)
 		}
 		p.mu.Unlock()
 		p.dispatch()
--- a/pkg/stagecall/scheduler.go
+++ b/pkg/stagecall/scheduler.go
@@ -185,10 +185,10 @@
 	}
 }
 
-// Arrive queues a new job and counts its pieces as arrivals.
-func (s *Scheduler) Arrive(j *Job, now time.Time) {
+// Enqueue queues a new job and counts its pieces as arrivals.
+func (s *Scheduler) Enqueue(j *Job, now time.Time) {
 	s.arrivals = append(s.arrivals, arrival{now, len(j.Pieces)})
-	s.Add(j, now)
+	s.Requeue(j, now)
 }
 
 // Next returns the next call to make; false if no server is free or no job may be sent.
@@ -372,8 +372,8 @@
 	st.durationRatio += durationSmoothing * (durationRatio - st.durationRatio)
 }
 
-// Freed records that results at a server were released.
-func (s *Scheduler) Freed(server string, handles []string) {
+// ResultsReleased records that results at a server were released.
+func (s *Scheduler) ResultsReleased(server string, handles []string) {
 	st := s.state(server)
 	for _, h := range handles {
 		if r, ok := st.results[h]; ok {
--- a/pkg/stagecall/scheduler_test.go
+++ b/pkg/stagecall/scheduler_test.go
@@ -69,7 +69,7 @@
 }
 
 func (l *simulation) dispatch(now time.Time) {
-	l.sched.Hopeless(l.servers, now)
+	l.sched.DropInfeasible(l.servers, now)
 	for {
 		c, ok := l.sched.Next(l.servers, now)
 		if !ok {
@@ -104,7 +104,7 @@
 	l.advanceTo(j.Arrived)
 	l.unfinished[j] = len(j.Pieces)
 	if _, ok := l.sched.Forecast(j, l.servers, j.Arrived); ok {
-		l.sched.Arrive(j, j.Arrived)
+		l.sched.Enqueue(j, j.Arrived)
 	}
 	l.dispatch(j.Arrived)
 }
@@ -150,9 +150,9 @@
 	l := newSimulation(1)
 	for i := range 40 {
 		j := job(fmt.Sprint(i), 8, 0, time.Second, 3*time.Second)
-		l.sched.Arrive(j, epoch)
+		l.sched.Enqueue(j, epoch)
 	}
-	refused := l.sched.Hopeless(l.servers, epoch)
+	refused := l.sched.DropInfeasible(l.servers, epoch)
 	require.GreaterOrEqual(t, len(refused), 30, "one server runs eight calls of eight pieces in three seconds")
 	_, ok := l.sched.Forecast(job("x", 8, 0, 100*time.Millisecond, 300*time.Millisecond), l.servers, epoch)
 	require.False(t, ok, "a call takes 368 ms")
@@ -163,7 +163,7 @@
 	for i := range 3 {
 		j := job(fmt.Sprint(i), 5, 0, time.Second, 5*time.Second)
 		j.ResultBytes = 3_000_000
-		s.Arrive(j, epoch)
+		s.Enqueue(j, epoch)
 	}
 	c, ok := s.Next(v, epoch)
 	require.True(t, ok)
@@ -172,7 +172,7 @@
 	s.Done(&c, Outcome{Handles: [][]string{{"h0", "h1", "h2", "h3", "h4"}}}, now)
 	_, ok = s.Next(v, now)
 	require.False(t, ok)
-	s.Freed("s0", []string{"h0", "h1", "h2", "h3", "h4"})
+	s.ResultsReleased("s0", []string{"h0", "h1", "h2", "h3", "h4"})
 	_, ok = s.Next(v, now)
 	require.True(t, ok)
 }
@@ -181,10 +181,10 @@
 	s, v := NewScheduler(batch), servers(1)
 	j := job("a", 2, 0, time.Second, 5*time.Second)
 	j.ResultBytes = 6000
-	s.Arrive(j, epoch)
+	s.Enqueue(j, epoch)
 	c, _ := s.Next(v, epoch)
 	s.Done(&c, Outcome{NoRoom: true}, epoch)
-	s.Add(job("b", 2, 0, time.Second, 5*time.Second), epoch)
+	s.Requeue(job("b", 2, 0, time.Second, 5*time.Second), epoch)
 	_, ok := s.Next(v, epoch.Add(time.Millisecond))
 	require.False(t, ok)
 	_, ok = s.Next(v, epoch.Add(fullFor))
@@ -195,7 +195,7 @@
 	s, v := NewScheduler(batch), servers(1)
 	j := job("a", 2, 0, 2*time.Second, 5*time.Second)
 	j.CrossingBytes, j.Domain = 1_500_000, "b"
-	s.Arrive(j, epoch)
+	s.Enqueue(j, epoch)
 	_, ok := s.Next(v, epoch)
 	require.False(t, ok)
 	_, ok = s.Next(v, epoch.Add(domainWait))
@@ -205,15 +205,15 @@
 func TestSlowServerIsUsedOnlyWhenTheOthersDoNotSuffice(t *testing.T) {
 	s, v := NewScheduler(batch), servers(2)
 	s.state("s0").durationRatio = 5
-	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), epoch)
+	s.Enqueue(job("a", 2, 0, time.Second, 5*time.Second), epoch)
 	c, ok := s.Next(v, epoch)
 	require.True(t, ok)
 	require.Equal(t, "s1", c.Server.ID)
-	s.Arrive(job("b", 2, 0, time.Second, 5*time.Second), epoch)
+	s.Enqueue(job("b", 2, 0, time.Second, 5*time.Second), epoch)
 	_, ok = s.Next(v, epoch)
 	require.False(t, ok)
 	for i := range 5 {
-		s.Arrive(job(fmt.Sprint(i), 2, 0, time.Second, 5*time.Second), epoch)
+		s.Enqueue(job(fmt.Sprint(i), 2, 0, time.Second, 5*time.Second), epoch)
 	}
 	c, ok = s.Next(v, epoch)
 	require.True(t, ok)
@@ -233,7 +233,7 @@
 				j := job("j", rapid.IntRange(1, 12).Draw(t, "pieces"), now.Sub(epoch), now.Sub(epoch)+time.Second, now.Sub(epoch)+time.Hour)
 				j.ResultBytes = int64(rapid.IntRange(0, 2_000_000).Draw(t, "bytes"))
 				submitted += len(j.Pieces)
-				s.Arrive(j, now)
+				s.Enqueue(j, now)
 			case 1:
 				if c, ok := s.Next(v, now); ok {
 					if c.Count() > batch.Size || c.Count() == 0 {
@@ -273,7 +273,7 @@
 func TestQuietServerIsUsedOnlyWhileItAnswers(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	v[0].Quiet = true
-	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), epoch)
+	s.Enqueue(job("a", 2, 0, time.Second, 5*time.Second), epoch)
 	_, ok := s.Next(v, epoch)
 	require.False(t, ok)
 	s.state("s0").answeredAt = epoch
@@ -286,7 +286,7 @@
 	s, v := NewScheduler(batch), servers(1)
 	j := job("a", 8, 0, time.Second, 5*time.Second)
 	j.ResultBytes = 2_000_000
-	s.Arrive(j, epoch)
+	s.Enqueue(j, epoch)
 	require.Equal(t, v, s.RoomQueries(v, epoch))
 	require.Empty(t, s.RoomQueries(v, epoch), "the query is already pending")
 	_, ok := s.Next(v, epoch)
@@ -305,7 +305,7 @@
 
 func TestServerIsUsedAfterARoomQueryTimesOut(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
-	s.Arrive(job("a", 1, 0, time.Second, 5*time.Second), epoch)
+	s.Enqueue(job("a", 1, 0, time.Second, 5*time.Second), epoch)
 	require.Len(t, s.RoomQueries(v, epoch), 1)
 	_, ok := s.Next(v, epoch.Add(roomQueryTimeout))
 	require.True(t, ok)
@@ -313,10 +313,10 @@
 
 func TestServerThatRanOutOfRoomIsQueriedAgain(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
-	s.Arrive(job("a", 1, 0, time.Second, 5*time.Second), epoch)
+	s.Enqueue(job("a", 1, 0, time.Second, 5*time.Second), epoch)
 	c, _ := s.Next(v, epoch)
 	s.Done(&c, Outcome{NoRoom: true}, epoch)
-	s.Add(job("b", 1, 0, time.Second, 5*time.Second), epoch)
+	s.Requeue(job("b", 1, 0, time.Second, 5*time.Second), epoch)
 	require.Len(t, s.RoomQueries(v, epoch), 1)
 	s.SetRoom("s0", dialect.Room{Least: 18_000_000, Most: 18_000_000}, epoch)
 	_, ok := s.Next(v, epoch)
@@ -333,7 +333,7 @@
 			target := since + time.Duration(rapid.IntRange(0, 1500).Draw(t, "target"))*time.Millisecond
 			j := job("j", rapid.IntRange(1, 5).Draw(t, "pieces"), since, target, target+time.Second)
 			j.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
-			s.Arrive(j, now)
+			s.Enqueue(j, now)
 			s.demoteLate(now)
 			for _, k := range s.jobs {
 				if k.late == s.canMeetTarget(k, now) {
@@ -353,13 +353,13 @@
 	for i := range 2000 {
 		j := job("j", 2, 0, time.Duration(i)*time.Millisecond, time.Hour)
 		j.Priority = i % 3
-		s.Arrive(j, epoch)
+		s.Enqueue(j, epoch)
 	}
 	for i := 0; b.Loop(); i++ {
 		now := epoch.Add(time.Duration(i) * 10 * time.Microsecond)
 		j := job("k", 2, now.Sub(epoch), now.Sub(epoch)+time.Duration(i%2000)*time.Millisecond, time.Hour)
 		if _, ok := s.Forecast(j, v, now); ok {
-			s.Add(j, now)
+			s.Requeue(j, now)
 			s.Drop(j)
 		}
 	}
@@ -370,14 +370,14 @@
 func TestRepeatedAnswerIsDetected(t *testing.T) {
 	s, v := NewScheduler(batch), servers(1)
 	s.SetRoom("s0", dialect.Room{Least: batch.ResultBytes, Most: batch.ResultBytes}, epoch)
-	s.Arrive(job("a", 2, 0, time.Second, 5*time.Second), epoch)
+	s.Enqueue(job("a", 2, 0, time.Second, 5*time.Second), epoch)
 	c, ok := s.Next(v, epoch)
 	require.True(t, ok)
 	results := []dialect.PieceResult{{Handle: "10.0.0.1:1/a"}, {Handle: "10.0.0.1:1/b"}}
 	require.False(t, s.Repeated("s0", results))
 	s.Done(&c, Outcome{Handles: [][]string{{results[0].Handle, results[1].Handle}}}, epoch.Add(200*time.Millisecond))
 	require.True(t, s.Repeated("s0", results))
-	s.Freed("s0", []string{results[0].Handle, results[1].Handle})
+	s.ResultsReleased("s0", []string{results[0].Handle, results[1].Handle})
 	require.True(t, s.Repeated("s0", results))
 	require.False(t, s.Repeated("s0", []dialect.PieceResult{{Reason: dialect.ReasonRoom}, {Handle: "10.0.0.1:1/c"}}))
 	require.Zero(t, s.state("s0").reservedBytes)
@@ -393,7 +393,7 @@
 		for i := range 4 {
 			j := job(string(rune('a'+i)), 1, 0, time.Second, 5*time.Second)
 			j.Isolated = i == 2 || i == 0 && first
-			s.Arrive(j, epoch)
+			s.Enqueue(j, epoch)
 		}
 		seen := 0
 		for i := range 4 {
@@ -415,8 +415,8 @@
 	s := NewScheduler(batch)
 	held, other := job("a", 1, 0, time.Second, 5*time.Second), job("b", 1, 0, time.Second, 5*time.Second)
 	held.NotBefore = epoch.Add(30 * time.Millisecond)
-	s.Arrive(held, epoch)
-	s.Arrive(other, epoch)
+	s.Enqueue(held, epoch)
+	s.Enqueue(other, epoch)
 	c, ok := s.Next([]Server{{ID: "s"}}, epoch)
 	require.True(t, ok)
 	require.Len(t, c.Parts, 1)
--- a/pkg/stagecall/standalone_test.go
+++ b/pkg/stagecall/standalone_test.go
@@ -47,7 +47,7 @@
 		v := servers(42)
 		OrderServersFor(fmt.Sprint("entry-", vm), v)
 		s := NewScheduler(batch)
-		s.Arrive(job("j", 1, 0, time.Second, 5*time.Second), epoch)
+		s.Enqueue(job("j", 1, 0, time.Second, 5*time.Second), epoch)
 		s.RoomQueries(v, epoch)
 		for _, x := range v {
 			s.SetRoom(x.ID, dialect.Room{Least: batch.ResultBytes, Most: batch.ResultBytes}, epoch)
