--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -172,7 +172,7 @@
 		view.vm = f.settings.VM.Name
 	}
 	return stagecall.NewRunner(stagecall.Options{
-		View: view, Dialect: f.dialect, Pool: f.pool, Asides: upstream.NewPool(nil), Suspects: f.suspects, MayCall: mayCall,
+		View: view, Dialect: f.dialect, Pool: f.pool, AuxPool: upstream.NewPool(nil), Suspects: f.suspects, MayCall: mayCall,
 		Release: release, Log: k.Log().WithName("stages"),
 	})
 }
@@ -387,7 +387,7 @@
 	f.relay = relay.New(relay.Options{
 		VM: f.settings.VM.Name, FailureDomain: f.settings.VM.FailureDomain, Dialect: f.dialect, Knowledge: f.state,
 		Stages: stageclient.New(stageclient.Options{
-			Known: f.state, Heard: w.follower.Heard, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
+			Owners: f.state, ControlHeard: w.follower.Heard, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
 			Log: k.Log().WithName("stages"),
 		}),
 		Pool:        f.pool,
--- a/pkg/stagecall/release.go
+++ b/pkg/stagecall/release.go
@@ -95,7 +95,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
-	a, err := r.opts.Asides.Do(ctx, upstream.Call{
+	a, err := r.opts.AuxPool.Do(ctx, upstream.Call{
 		Address: address, Method: method, Target: path, Host: address, Header: r.opts.Dialect.TargetHeader("", freeTimeout),
 		Body: body, HasBody: true,
 	})
--- a/pkg/stagecall/runner.go
+++ b/pkg/stagecall/runner.go
@@ -66,9 +66,9 @@
 type Options struct {
 	View    View
 	Dialect dialect.Dialect
-	// Pool holds the connections for stage calls, Asides those for liveness checks, room queries and releases. They are
+	// Pool holds the connections for stage calls, AuxPool those for liveness checks, room queries and releases. They are
 	// separate so that a duplicate response to one of the latter is never taken for the results of a stage call.
-	Pool, Asides *upstream.Pool
+	Pool, AuxPool *upstream.Pool
 	// Suspects tracks requests under which servers crashed and refuses them; nil means a tracker of this Runner's own.
 	Suspects *quarantine.Tracker
 	// MayCall is checked right before each call; calls wait while it returns false. nil allows all calls.
@@ -102,7 +102,7 @@
 	if o.Suspects == nil {
 		o.Suspects = quarantine.NewTracker(quarantine.TrackerOptions{Log: o.Log})
 	}
-	checker := liveness.New(o.Asides, func(id string) (directory.Server, bool) { return o.View.Server(id) })
+	checker := liveness.New(o.AuxPool, func(id string) (directory.Server, bool) { return o.View.Server(id) })
 	return &Runner{opts: o, liveness: checker, pools: make(map[string]*pool), pendingFrees: make(map[string]*pendingFree)}
 }
 
--- a/pkg/stagecall/send.go
+++ b/pkg/stagecall/send.go
@@ -128,7 +128,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), roomQueryTimeout)
 	defer cancel()
 	method, path := d.StageReport()
-	a, err := r.opts.Asides.Do(ctx, upstream.Call{
+	a, err := r.opts.AuxPool.Do(ctx, upstream.Call{
 		Address: v.Address, Method: method, Target: path, Host: v.Address, Header: d.TargetHeader(v.ID, roomQueryTimeout),
 		OnSend: func() error { return r.checkOpen(v.record()) },
 	})
--- a/pkg/stageclient/stageclient.go
+++ b/pkg/stageclient/stageclient.go
@@ -67,10 +67,10 @@
 
 // Options configures a Client.
 type Options struct {
-	Known OwnerSource
-	// Heard reports whether this VM hears any control VM.
-	Heard func() bool
-	HTTP  *http.Client
+	Owners OwnerSource
+	// ControlHeard reports whether this VM hears any control VM.
+	ControlHeard func() bool
+	HTTP         *http.Client
 	// Local makes the calls for this VM's own requests while it hears no control VM. Its calls hold fewer pieces. Rate
 	// limits the jobs of a service that it runs, in jobs per second.
 	Local *stagecall.Runner
@@ -81,8 +81,8 @@
 // New returns a Client with a random start offset.
 func New(o Options) *Client {
 	return &Client{
-		owners: o.Known, controlHeard: o.Heard, http: o.HTTP, runner: o.Local, standaloneRate: o.Rate,
-		startOffset: rand.Float64(), limiters: make(map[string]*stagecall.Limiter), freer: NewFreer(o.Known, "", o.HTTP, o.Local, o.Log), log: o.Log,
+		owners: o.Owners, controlHeard: o.ControlHeard, http: o.HTTP, runner: o.Local, standaloneRate: o.Rate,
+		startOffset: rand.Float64(), limiters: make(map[string]*stagecall.Limiter), freer: NewFreer(o.Owners, "", o.HTTP, o.Local, o.Log), log: o.Log,
 	}
 }
 
--- a/pkg/stageclient/stageclient_test.go
+++ b/pkg/stageclient/stageclient_test.go
@@ -108,7 +108,7 @@
 func newClient(k *fakeOwners, heard bool) *Client {
 	local := stagecall.NewRunner(stagecall.Options{View: noServices{}, Log: logr.Discard()})
 	c := New(Options{
-		Known: k, Heard: func() bool { return heard }, HTTP: http.DefaultClient, Local: local,
+		Owners: k, ControlHeard: func() bool { return heard }, HTTP: http.DefaultClient, Local: local,
 		Rate: func(string, time.Time) float64 { return 0 }, Log: logr.Discard(),
 	})
 	c.startOffset = 0.6 // one job at once
