--- a/pkg/stagecall/pool.go
+++ b/pkg/stagecall/pool.go
@@ -39,6 +39,7 @@
 	job     *Job
 	results []dialect.PieceResult
 	domains []string
+	// pending counts the pieces without a final result; done is closed when it reaches 0 or the caller has gone.
 	pending int
 	done    chan struct{}
 	closed  bool
--- a/pkg/stagecall/release.go
+++ b/pkg/stagecall/release.go
@@ -38,6 +38,7 @@
 	}
 }
 
+// flush sends the pending handles, except recent ones at servers with ample room, which wait for a larger batch.
 func (r *Runner) flush() {
 	now := time.Now()
 	r.mu.Lock()
@@ -81,6 +82,7 @@
 	return false
 }
 
+// sendFree tells a server that results are released, and records it once the server has answered.
 func (r *Runner) sendFree(address string, handles []string, pools []*pool) {
 	method, path, body, err := r.opts.Dialect.StageFree(handles)
 	if err != nil {
--- a/pkg/stagecall/send.go
+++ b/pkg/stagecall/send.go
@@ -15,6 +15,7 @@
 // errShed means that the server refused the call without running it.
 var errShed = errors.New("stagecall: server refused the call")
 
+// send sends a call to its server and returns one result per piece, in order.
 func (p *pool) send(c *Call) ([]dialect.PieceResult, error) {
 	d := p.runner.opts.Dialect
 	var pieces []dialect.Piece
