--- a/pkg/stagecall/pool.go
+++ b/pkg/stagecall/pool.go
@@ -224,7 +224,7 @@
 	state := liveness.State("")
 	var e *upstream.Error
 	if errors.As(err, &e) && e.Sent {
-		state = p.runner.liveness.Look(context.Background(), c.Server.record(), runs...)
+		state = p.runner.liveness.Check(context.Background(), c.Server.record(), runs...)
 	}
 	for _, r := range runs {
 		r.End()
