--- a/pkg/stagecall/send.go
+++ b/pkg/stagecall/send.go
@@ -45,7 +45,7 @@
 	a, err := p.runner.opts.Pool.Do(ctx, upstream.Call{
 		Address: c.Server.Address, Method: method, Target: path, Host: c.Server.Address,
 		Header: d.TargetHeader(c.Server.ID, latest.Sub(c.Begun)), Body: body, HasBody: true,
-		OnSend: func() error { return p.runner.checkOpen(c.Server.record()) },
+		BeforeSend: func() error { return p.runner.checkOpen(c.Server.record()) },
 	})
 	if err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 	method, path := d.StageReport()
 	a, err := r.opts.AuxPool.Do(ctx, upstream.Call{
 		Address: v.Address, Method: method, Target: path, Host: v.Address, Header: d.TargetHeader(v.ID, roomQueryTimeout),
-		OnSend: func() error { return r.checkOpen(v.record()) },
+		BeforeSend: func() error { return r.checkOpen(v.record()) },
 	})
 	if err != nil {
 		return dialect.Room{}, err
--- a/pkg/stageclient/stageclient.go
+++ b/pkg/stageclient/stageclient.go
@@ -94,15 +94,15 @@
 	errNoResults = errors.New("stageclient: the answer ended without results")
 )
 
-// Run implements relay.Stages. A job whose owner can't be reached is sent again, to the owner known by then. It returns a
-// *relay.StageRefused if the stage was refused, a piece failed, or no owner was found in time.
+// Run implements relay.StageRunner. A job whose owner can't be reached is sent again, to the owner known by then. It returns a
+// *relay.StageRefusedError if the stage was refused, a piece failed, or no owner was found in time.
 func (c *Client) Run(ctx context.Context, q relay.StageRequest) ([]relay.StageResult, error) {
 	giveUpAt := time.Now().Add(min(maxOwnerWait, time.Duration(maxOwnerWaitShare*float64(time.Until(q.Deadline)))))
 	for {
 		owner, changed := c.owners.StageOwner(q.Service)
 		if owner.Address != "" {
 			results, err := c.runOnOwner(ctx, owner, q)
-			var refused *relay.StageRefused
+			var refused *relay.StageRefusedError
 			if err == nil || errors.As(err, &refused) || ctx.Err() != nil {
 				return results, err
 			}
@@ -117,7 +117,7 @@
 			}
 			return c.parseResponse(res)
 		case now.After(giveUpAt):
-			return nil, &relay.StageRefused{RetryAfter: noOwnerRetryAfter, Reason: "no control VM forms the calls of the service now"}
+			return nil, &relay.StageRefusedError{RetryAfter: noOwnerRetryAfter, Reason: "no control VM forms the calls of the service now"}
 		}
 		select {
 		case <-ctx.Done():
@@ -205,13 +205,13 @@
 func (c *Client) parseResponse(m *daisyhatchv1.StageRunResponse) ([]relay.StageResult, error) {
 	if m.GetRefused() {
 		wait := time.Duration(m.GetRetryAfterMs()) * time.Millisecond
-		return nil, &relay.StageRefused{RetryAfter: wait, Reason: cmp.Or(m.GetReason(), "the queue is too long for the deadline")}
+		return nil, &relay.StageRefusedError{RetryAfter: wait, Reason: cmp.Or(m.GetReason(), "the queue is too long for the deadline")}
 	}
 	var out []relay.StageResult
 	var failed error
 	for _, r := range m.GetResults() {
 		if r.GetHandle() == "" {
-			failed = &relay.StageRefused{
+			failed = &relay.StageRefusedError{
 				RetryAfter: pieceRetryAfter, Reason: "a piece was not made: " + r.GetReason(),
 				Lost: r.GetReason() == dialect.ReasonGone || r.GetReason() == dialect.ReasonError,
 			}
@@ -225,5 +225,5 @@
 // pieceRetryAfter is the time after which a request with a failed piece should retry, about one call.
 const pieceRetryAfter = 300 * time.Millisecond
 
-// Free implements relay.Stages.
+// Free implements relay.StageRunner.
 func (c *Client) Free(handles []string) { c.freer.Free(handles) }
