--- a/pkg/stagecall/pool.go
+++ b/pkg/stagecall/pool.go
@@ -271,7 +271,7 @@
 	if retryable && inTime && !w.closed && piece.Tries < maxAttempts && (shed || r.Reason == dialect.ReasonRoom || p.budget.Allow(now)) {
 		if c.serverEnded {
 			// With this delay, a further crash, if any, can be attributed to the request.
-			j.NotBefore = now.Add(quarantine.SettleTime)
+			j.NotBefore = now.Add(quarantine.CommonCauseWindow)
 		}
 		if len(j.Pieces) == 0 {
 			p.sched.Requeue(j, now)
