--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -172,7 +172,7 @@
 		view.vm = f.settings.VM.Name
 	}
 	return stagecall.NewRunner(stagecall.Options{
-		View: view, Dialect: f.dialect, Pool: f.pool, Asides: upstream.NewPool(nil), Suspects: f.suspects, MayCall: mayCall,
+		View: view, Dialect: f.dialect, Pool: f.pool, AuxPool: upstream.NewPool(nil), Suspects: f.suspects, MayCall: mayCall,
 		Release: release, Log: k.Log().WithName("stages"),
 	})
 }
@@ -218,13 +218,13 @@
 	return errors.Join(err, f.node.Stop(ctx))
 }
 
-// aloneRate is how many jobs of a service this VM may have made alone in a second; see stagecall.AloneRate.
+// aloneRate is how many jobs of a service this VM may have made alone in a second; see stagecall.StandaloneRate.
 func (f *fleetEntry) aloneRate(service string, now time.Time) float64 {
 	set := f.state.Catalog()
 	if set == nil || set.Services[service] == nil || set.Services[service].Batch == nil {
 		return 0
 	}
-	return stagecall.AloneRate(*set.Services[service].Batch, len(f.state.Serving(service, now)), len(f.state.Entries(now)))
+	return stagecall.StandaloneRate(*set.Services[service].Batch, len(f.state.Serving(service, now)), len(f.state.Entries(now)))
 }
 
 // stageView shows the State to the stage runner.
@@ -241,7 +241,7 @@
 		out = append(out, stagecall.Server{ID: c.ID, Address: c.Address, Domain: c.Domain, Born: c.Born, Quiet: c.Quiet})
 	}
 	if v.vm != "" {
-		stagecall.SpreadFor(v.vm, out)
+		stagecall.OrderServersFor(v.vm, out)
 	}
 	return out
 }
@@ -387,7 +387,7 @@
 	f.relay = relay.New(relay.Options{
 		VM: f.settings.VM.Name, FailureDomain: f.settings.VM.FailureDomain, Dialect: f.dialect, View: f.state,
 		Stages: stageclient.New(stageclient.Options{
-			Known: f.state, Heard: w.follower.Connected, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
+			Owners: f.state, ControlHeard: w.follower.Connected, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
 			Log: k.Log().WithName("stages"),
 		}),
 		Pool:        f.pool,
