--- a/pkg/gateway/announce.go
+++ b/pkg/gateway/announce.go
@@ -13,23 +13,24 @@
 	"github.com/daisyhatch/daisyhatch/pkg/grant"
 )
 
-// announced is the answer to an announcement.
-type announced struct {
-	// RenewMs is when to announce again, in milliseconds.
+// announceResponse is the response body of POST /v1/announce.
+type announceResponse struct {
+	// RenewMs is the time until the server has to announce itself again, in milliseconds.
 	RenewMs int64 `json:"renewMs"`
 }
 
-// announce serves POST /v1/announce. It is served while draining too, since other VMs' routing depends on it.
-func (g *Gateway) announce(w http.ResponseWriter, r *http.Request) {
-	if err := g.announceOne(r); err != nil {
+// handleAnnounce serves POST /v1/announce, by which backend servers register themselves. It keeps working while the
+// gateway drains, because other VMs route by these announcements.
+func (g *Gateway) handleAnnounce(w http.ResponseWriter, r *http.Request) {
+	if err := g.acceptAnnouncement(r); err != nil {
 		writeError(w, apierr.From(err), requestID(r))
 		return
 	}
-	writeJSON(w, http.StatusOK, announced{RenewMs: grant.AnnounceInterval(servers(g.InForce())).Milliseconds()})
+	writeJSON(w, http.StatusOK, announceResponse{RenewMs: grant.AnnounceInterval(expectedServers(g.InForce())).Milliseconds()})
 }
 
-// servers returns how many backend servers operators expect.
-func servers(f *InForce) int {
+// expectedServers returns the number of backend servers configured: the sum of the replicas of all pools.
+func expectedServers(f *InForce) int {
 	n := 0
 	for _, p := range f.Set.Pools {
 		n += p.Replicas
@@ -37,7 +38,8 @@
 	return n
 }
 
-func (g *Gateway) announceOne(r *http.Request) error {
+// acceptAnnouncement validates the announcement in r and forwards it to the grantor.
+func (g *Gateway) acceptAnnouncement(r *http.Request) error {
 	f := g.InForce()
 	if f == nil {
 		return apierr.New(http.StatusServiceUnavailable, apierr.NotReady, "no configuration is in force on this VM yet")
@@ -50,7 +52,7 @@
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, a); err != nil {
 		return apierr.New(http.StatusBadRequest, apierr.BadRequest, "the body isn't an announcement: %v", err)
 	}
-	if err := mayAnnounce(f, r, a); err != nil {
+	if err := checkAnnouncement(f, r, a); err != nil {
 		return err
 	}
 	if err := g.Announcer.Announce(r.Context(), a); err != nil {
@@ -59,8 +61,9 @@
 	return nil
 }
 
-// mayAnnounce checks the server's key for the pool that it claims, and that the claim names known objects.
-func mayAnnounce(f *InForce, r *http.Request, a *daisyhatchv1.Announcement) error {
+// checkAnnouncement checks that the bearer key may announce into the pool named in a, that the required fields are set
+// and that the pool may have servers in the named failure domain. It returns an *apierr.Error.
+func checkAnnouncement(f *InForce, r *http.Request, a *daisyhatchv1.Announcement) error {
 	key, err := auth.KeyFrom(r.Header)
 	if err != nil {
 		return apierr.New(http.StatusUnauthorized, apierr.Unauthorised, "a bearer key is needed").Wrap(err)
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the callers' side of an entry VM: OpenAI-compatible chat completions and model list, a
-// plain form for other pipelines and for services, and the announcements of backend servers.
+// Package gateway is the HTTP API of an entry VM: OpenAI-compatible chat completions and model list, plain HTTP
+// endpoints for other pipelines and for services, and the endpoint where backend servers announce themselves.
 package gateway
 
 import (
@@ -24,85 +24,89 @@
 	"github.com/daisyhatch/daisyhatch/pkg/executor"
 )
 
-// Limits bounds what callers send.
+// Limits bounds the size of request bodies and the time to read requests and write responses.
 type Limits struct {
-	// MaxBody is the largest body in bytes.
+	// MaxBody is the largest accepted request body in bytes.
 	MaxBody int64
-	// BodyTimeout is the longest time for a body.
+	// BodyTimeout is the longest time to receive a request body.
 	BodyTimeout time.Duration
-	// WriteTimeout is the longest time that a caller may take to accept written bytes.
+	// WriteTimeout is the longest time that writing one event of a streamed response may take.
 	WriteTimeout time.Duration
 }
 
-// maxAnnouncementBytes bounds an announcement.
+// maxAnnouncementBytes is the largest accepted body of an announcement.
 const maxAnnouncementBytes = 64 << 10
 
-// shutdownRetryAfter tells callers of a VM that is leaving when to come back; the balancer then picks another.
+// shutdownRetryAfter is the retry delay sent with requests rejected during shutdown. The load balancer then sends
+// the retry to another VM.
 const shutdownRetryAfter = 200 * time.Millisecond
 
-// Executor runs requests.
+// Executor runs requests through the stages of their plan. For streamed requests it passes events to sink.
 type Executor interface {
 	Run(ctx context.Context, r executor.Request, sink executor.Sink) (executor.Result, error)
 }
 
-// Admission lets requests in, in fair order, or refuses them early.
+// Admission is the admission control: Enter waits until the request may run, in fair order, or rejects it early. The
+// caller calls the returned function when the request has ended.
 type Admission interface {
-	Enter(ctx context.Context, r admission.Request) (leave func(), err error)
+	Enter(ctx context.Context, r admission.Request) (release func(), err error)
 }
 
-// Announcer hands an announcement to the grantor of the server's shard.
+// Announcer forwards an announcement to the grantor of the server's shard.
 type Announcer interface {
 	Announce(ctx context.Context, a *daisyhatchv1.Announcement) error
 }
 
-// Observer records how requests ended.
+// Observer records the results of requests: whether a request was good for the service level, and the cost of each
+// stage in units of account, with the part of it spent on attempts whose answer was not used.
 type Observer interface {
 	Record(pipeline, organisation string, good bool, now time.Time)
 	RecordCost(pipeline, organisation, stage string, cost, wasted float64)
 }
 
-// InForce is the configuration that the gateway serves.
+// InForce is the configuration in force, with the index of its keys.
 type InForce struct {
 	Version uint64
 	Set     *config.Set
 	Keys    *auth.Index
 }
 
-// Options are the parts that a Gateway stands on.
+// Options are the dependencies and limits of a Gateway.
 type Options struct {
 	VM        string
 	Executor  Executor
 	Admission Admission
 	Announcer Announcer
 	Observer  Observer
-	// InForce returns the configuration in force; nil while there is none.
+	// InForce returns the configuration in force, or nil while there is none.
 	InForce func() *InForce
 	Limits  Limits
 	Log     logr.Logger
 }
 
-// Gateway serves callers and backend servers.
+// Gateway serves the requests of callers and the announcements of backend servers.
 type Gateway struct {
 	Options
 	draining atomic.Bool
 	inFlight atomic.Int64
 }
 
-// New returns a Gateway.
+// New returns a Gateway that is not draining.
 func New(o Options) *Gateway {
 	return &Gateway{Options: o}
 }
 
-// Drain makes the gateway refuse new requests with shutting_down. Requests in flight go on.
+// Drain makes the gateway reject new requests with shutting_down. Requests in flight continue, and announcements are
+// still served.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// InFlight returns the count of requests in flight.
+// InFlight returns the number of requests in flight, without announcements.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// Handler returns the routes.
+// Handler returns the HTTP handler with all routes.
 func (g *Gateway) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(g.guard)
+	r.Use(g.middleware)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
 		writeError(w, apierr.New(http.StatusNotFound, apierr.NotFound, "no such path: %s", r.URL.Path), requestID(r))
 	})
@@ -110,12 +114,12 @@
 		e := apierr.New(http.StatusMethodNotAllowed, apierr.BadRequest, "method %s isn't allowed here", r.Method)
 		writeError(w, e, requestID(r))
 	})
-	r.Get("/v1/models", g.serve(g.models))
-	r.Post("/v1/chat/completions", g.serve(g.chat))
-	r.Post("/v1/pipelines/{name}", g.serve(g.pipeline))
-	r.HandleFunc("/v1/services/{name}", g.serve(g.service))
-	r.HandleFunc("/v1/services/{name}/*", g.serve(g.service))
-	r.Post("/v1/announce", g.announce)
+	r.Get("/v1/models", g.serve(g.handleModels))
+	r.Post("/v1/chat/completions", g.serve(g.handleChat))
+	r.Post("/v1/pipelines/{name}", g.serve(g.handlePipeline))
+	r.HandleFunc("/v1/services/{name}", g.serve(g.handleService))
+	r.HandleFunc("/v1/services/{name}/*", g.serve(g.handleService))
+	r.Post("/v1/announce", g.handleAnnounce)
 	return r
 }
 
@@ -128,19 +132,22 @@
 	return id
 }
 
-// guard names the request, bounds its body and turns a panic into an error answer.
-func (g *Gateway) guard(next http.Handler) http.Handler {
+// middleware wraps all routes: it assigns the request ID, limits the body size and turns a panic into an
+// error response.
+func (g *Gateway) middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := uuid.NewString()
 		w.Header().Set(HeaderRequestID, id)
 		r = r.WithContext(context.WithValue(r.Context(), requestIDKey, id))
 		r.Body = http.MaxBytesReader(w, r.Body, g.Limits.MaxBody)
-		defer g.recovered(w, id)
+		defer g.recoverPanic(w, id)
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (g *Gateway) recovered(w http.ResponseWriter, id string) {
+// recoverPanic is deferred by the middleware. It panics again for http.ErrAbortHandler, by which net/http aborts a
+// response.
+func (g *Gateway) recoverPanic(w http.ResponseWriter, id string) {
 	p := recover()
 	if p == nil {
 		return
@@ -152,22 +159,23 @@
 	writeError(w, apierr.From(fmt.Errorf("panic: %v", p)), id)
 }
 
-// caller is an authenticated request with the configuration that it is served under.
-type caller struct {
+// callerRequest is an authenticated request, its response writer and the configuration that it is served under.
+type callerRequest struct {
 	w            http.ResponseWriter
 	r            *http.Request
 	id           string
-	began        time.Time
+	receivedAt   time.Time
 	organisation *config.Organisation
 	inForce      *InForce
 }
 
-// serve authenticates the caller and answers the error that handle returns, if any.
-func (g *Gateway) serve(handle func(*caller) error) http.HandlerFunc {
+// serve returns a handler that authenticates the request, calls handle and writes the error response if handle
+// returns an error.
+func (g *Gateway) serve(handle func(*callerRequest) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		g.inFlight.Add(1)
 		defer g.inFlight.Add(-1)
-		c, err := g.identify(w, r)
+		c, err := g.authenticate(w, r)
 		if err == nil {
 			err = handle(c)
 		}
@@ -177,7 +185,9 @@
 	}
 }
 
-func (g *Gateway) identify(w http.ResponseWriter, r *http.Request) (*caller, error) {
+// authenticate identifies the organisation of the request by its bearer key. It returns an *apierr.Error while the gateway drains, while no
+// configuration is in force, or if the key is missing or unknown.
+func (g *Gateway) authenticate(w http.ResponseWriter, r *http.Request) (*callerRequest, error) {
 	if g.draining.Load() {
 		e := apierr.New(http.StatusServiceUnavailable, apierr.ShuttingDown, "this VM is shutting down")
 		w.Header().Set("Connection", "close")
@@ -196,13 +206,13 @@
 	if err != nil {
 		return nil, apierr.New(http.StatusUnauthorized, apierr.Unauthorised, "the key isn't known").Wrap(err)
 	}
-	return &caller{w: w, r: r, id: requestID(r), began: time.Now(), organisation: o, inForce: f}, nil
+	return &callerRequest{w: w, r: r, id: requestID(r), receivedAt: time.Now(), organisation: o, inForce: f}, nil
 }
 
-// readBody reads the whole body within the body timeout.
-func (g *Gateway) readBody(c *caller) ([]byte, error) {
+// readBody reads the whole request body within Limits.BodyTimeout.
+func (g *Gateway) readBody(c *callerRequest) ([]byte, error) {
 	rc := http.NewResponseController(c.w)
-	// A recorder in a test has no deadline to set; the body is then in memory already.
+	// Only httptest.ResponseRecorder can't set a read deadline; its request body is in memory already.
 	_ = rc.SetReadDeadline(time.Now().Add(g.Limits.BodyTimeout))
 	body, err := io.ReadAll(c.r.Body)
 	if err != nil {
@@ -212,6 +222,7 @@
 	return body, nil
 }
 
+// bodyError turns an error from reading the body into an *apierr.Error: too_large or bad_request.
 func bodyError(err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -28,19 +28,19 @@
 	"github.com/daisyhatch/daisyhatch/pkg/executor"
 )
 
-// fakes stands in for everything behind the gateway.
-type fakes struct {
-	mu        sync.Mutex
-	requests  []executor.Request
-	events    []engine.Event
-	result    executor.Result
-	err       error
-	enterErr  error
-	announced []*daisyhatchv1.Announcement
-	good, bad int
+// fakeBackend implements the gateway's Executor, Admission, Announcer and Observer, and records their calls.
+type fakeBackend struct {
+	mu           sync.Mutex
+	requests     []executor.Request
+	events       []engine.Event
+	result       executor.Result
+	err          error
+	admissionErr error
+	announced    []*daisyhatchv1.Announcement
+	good, bad    int
 }
 
-func (f *fakes) Run(_ context.Context, r executor.Request, sink executor.Sink) (executor.Result, error) {
+func (f *fakeBackend) Run(_ context.Context, r executor.Request, sink executor.Sink) (executor.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests = append(f.requests, r)
@@ -57,16 +57,16 @@
 	return res, f.err
 }
 
-func (f *fakes) Enter(context.Context, admission.Request) (func(), error) {
-	return func() {}, f.enterErr
+func (f *fakeBackend) Enter(context.Context, admission.Request) (func(), error) {
+	return func() {}, f.admissionErr
 }
 
-func (f *fakes) Announce(_ context.Context, a *daisyhatchv1.Announcement) error {
+func (f *fakeBackend) Announce(_ context.Context, a *daisyhatchv1.Announcement) error {
 	f.announced = append(f.announced, a)
 	return nil
 }
 
-func (f *fakes) Record(_, _ string, good bool, _ time.Time) {
+func (f *fakeBackend) Record(_, _ string, good bool, _ time.Time) {
 	if good {
 		f.good++
 		return
@@ -74,7 +74,7 @@
 	f.bad++
 }
 
-func (f *fakes) RecordCost(string, string, string, float64, float64) {}
+func (f *fakeBackend) RecordCost(string, string, string, float64, float64) {}
 
 func testSet() *config.Set {
 	chat := &config.Stage{Name: "write", Pool: "writers", Operation: "chat", Repeatable: true}
@@ -98,13 +98,13 @@
 	}
 }
 
-func serve(t *testing.T, f *fakes) (*httptest.Server, *Gateway) {
+func newTestServer(t *testing.T, f *fakeBackend) (*httptest.Server, *Gateway) {
 	t.Helper()
 	set := testSet()
-	in := &InForce{Version: 1, Set: set, Keys: auth.NewIndex(set)}
+	inForce := &InForce{Version: 1, Set: set, Keys: auth.NewIndex(set)}
 	g := New(Options{
 		VM: "vm-1", Executor: f, Admission: f, Announcer: f, Observer: f,
-		InForce: func() *InForce { return in },
+		InForce: func() *InForce { return inForce },
 		Limits:  Limits{MaxBody: 4096, BodyTimeout: 200 * time.Millisecond, WriteTimeout: time.Second},
 		Log:     logr.Discard(),
 	})
@@ -128,50 +128,50 @@
 	require.NoError(t, err)
 	var e errorBody
 	if resp.StatusCode >= http.StatusBadRequest {
-		require.NoError(t, json.Unmarshal(b, &e), "error answers are JSON: %s", b)
+		require.NoError(t, json.Unmarshal(b, &e), "error response is not JSON: %s", b)
 	}
 	return resp, e.Error
 }
 
-func client(url string) openai.Client {
+func newOpenAIClient(url string) openai.Client {
 	return openai.NewClient(option.WithBaseURL(url+"/v1"), option.WithAPIKey("huon-key"), option.WithMaxRetries(0))
 }
 
-func params() openai.ChatCompletionNewParams {
+func chatParams() openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:    "reports",
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("What came back?")},
 	}
 }
 
-const wholeAnswer = `{"id":"1","object":"chat.completion","created":1,"model":"reports","choices":[{"index":0,` +
+const chatResponse = `{"id":"1","object":"chat.completion","created":1,"model":"reports","choices":[{"index":0,` +
 	`"message":{"role":"assistant","content":"three bundles"},"finish_reason":"stop"}],"usage":{"prompt_tokens":4,"completion_tokens":2,"total_tokens":6}}`
 
-func TestStockClientWhole(t *testing.T) {
-	f := &fakes{result: executor.Result{Status: 200, ContentType: "application/json", Body: []byte(wholeAnswer)}}
-	ts, _ := serve(t, f)
-	c := client(ts.URL)
-	got, err := c.Chat.Completions.New(t.Context(), params())
+func TestOpenAIClientCompletion(t *testing.T) {
+	f := &fakeBackend{result: executor.Result{Status: 200, ContentType: "application/json", Body: []byte(chatResponse)}}
+	ts, _ := newTestServer(t, f)
+	c := newOpenAIClient(ts.URL)
+	got, err := c.Chat.Completions.New(t.Context(), chatParams())
 	require.NoError(t, err)
 	require.Equal(t, "three bundles", got.Choices[0].Message.Content)
 	require.Equal(t, "huon", f.requests[0].Organisation)
 	require.Equal(t, 1, f.good)
 	models, err := c.Models.List(t.Context())
 	require.NoError(t, err)
-	require.Len(t, models.Data, 1, "pipelines of other organisations aren't listed")
+	require.Len(t, models.Data, 1, "pipelines of other organisations must not be listed")
 	require.Equal(t, "reports", models.Data[0].ID)
 }
 
-func TestStockClientStream(t *testing.T) {
-	f := &fakes{events: []engine.Event{
+func TestOpenAIClientStreaming(t *testing.T) {
+	f := &fakeBackend{events: []engine.Event{
 		{Index: 0, Text: "three "},
 		{Index: 1, Text: "bundles", FinishReason: "stop"},
 		{End: true, Usage: engine.Usage{PromptTokens: 4, CompletionTokens: 2}},
 	}}
-	ts, _ := serve(t, f)
-	p := params()
+	ts, _ := newTestServer(t, f)
+	p := chatParams()
 	p.StreamOptions.IncludeUsage = openai.Bool(true)
-	stream := client(ts.URL)
+	stream := newOpenAIClient(ts.URL)
 	s := stream.Chat.Completions.NewStreaming(t.Context(), p)
 	var acc openai.ChatCompletionAccumulator
 	for s.Next() {
@@ -183,19 +183,21 @@
 	require.EqualValues(t, 6, acc.Usage.TotalTokens)
 }
 
-func TestBrokenStreamIsNeverShortInSilence(t *testing.T) {
+// A stream that fails after its first token must end with an error event and without [DONE]; otherwise clients take the
+// truncated response for a complete one.
+func TestBrokenStreamEndsWithError(t *testing.T) {
 	broken := (&apierr.Error{Status: 502, Code: apierr.StreamBroken, Run: apierr.MayHaveRun, Message: "the server died"})
-	f := &fakes{events: []engine.Event{{Index: 0, Text: "three "}}, err: broken}
-	ts, _ := serve(t, f)
-	stream := client(ts.URL)
-	s := stream.Chat.Completions.NewStreaming(t.Context(), params())
+	f := &fakeBackend{events: []engine.Event{{Index: 0, Text: "three "}}, err: broken}
+	ts, _ := newTestServer(t, f)
+	stream := newOpenAIClient(ts.URL)
+	s := stream.Chat.Completions.NewStreaming(t.Context(), chatParams())
 	for s.Next() {
 		require.NotEmpty(t, s.Current().Choices)
 	}
 	require.Error(t, s.Err())
 	require.Equal(t, 1, f.bad)
 
-	resp, err := http.DefaultClient.Do(streamRequest(t, ts.URL))
+	resp, err := http.DefaultClient.Do(newStreamRequest(t, ts.URL))
 	require.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
@@ -204,7 +206,7 @@
 	require.Contains(t, string(b), `"run":"may_have_run"`)
 }
 
-func streamRequest(t *testing.T, url string) *http.Request {
+func newStreamRequest(t *testing.T, url string) *http.Request {
 	t.Helper()
 	body := `{"model":"reports","stream":true,"messages":[{"role":"user","content":"x"}]}`
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
@@ -213,10 +215,10 @@
 	return req
 }
 
-func TestTokenOutOfOrderEndsTheStream(t *testing.T) {
-	f := &fakes{events: []engine.Event{{Index: 0, Text: "a"}, {Index: 2, Text: "c"}, {End: true}}}
-	ts, _ := serve(t, f)
-	resp, err := http.DefaultClient.Do(streamRequest(t, ts.URL))
+func TestOutOfOrderTokenAbortsStream(t *testing.T) {
+	f := &fakeBackend{events: []engine.Event{{Index: 0, Text: "a"}, {Index: 2, Text: "c"}, {End: true}}}
+	ts, _ := newTestServer(t, f)
+	resp, err := http.DefaultClient.Do(newStreamRequest(t, ts.URL))
 	require.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
@@ -224,7 +226,7 @@
 	require.NotContains(t, string(b), "[DONE]")
 }
 
-func TestRefusals(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	chat := `{"model":"reports","messages":[{"role":"user","content":"x"}]}`
 	for name, c := range map[string]struct {
 		path, key, body string
@@ -232,51 +234,51 @@
 		status          int
 		code            apierr.Code
 	}{
-		"no key":                {"/v1/chat/completions", "", chat, nil, 401, apierr.Unauthorised},
-		"unknown key":           {"/v1/chat/completions", "nobody", chat, nil, 401, apierr.Unauthorised},
-		"other's pipeline":      {"/v1/pipelines/private", "huon-key", "{}", nil, 404, apierr.NotFound},
-		"no such pipeline":      {"/v1/chat/completions", "huon-key", strings.Replace(chat, "reports", "none", 1), nil, 404, apierr.NotFound},
-		"no such path":          {"/v2", "huon-key", chat, nil, 404, apierr.NotFound},
-		"not JSON":              {"/v1/chat/completions", "huon-key", "{", nil, 400, apierr.BadRequest},
-		"no messages":           {"/v1/chat/completions", "huon-key", `{"model":"reports"}`, nil, 400, apierr.BadRequest},
-		"too large":             {"/v1/chat/completions", "huon-key", strings.Repeat(" ", 5000) + chat, nil, 413, apierr.TooLarge},
-		"bad deadline":          {"/v1/chat/completions", "huon-key", chat, []string{HeaderDeadline, "soon"}, 400, apierr.BadRequest},
-		"negative deadline":     {"/v1/chat/completions", "huon-key", chat, []string{HeaderDeadline, "-1"}, 400, apierr.BadRequest},
-		"bad priority":          {"/v1/chat/completions", "huon-key", chat, []string{HeaderPriority, "10"}, 400, apierr.BadRequest},
-		"bad mark":              {"/v1/chat/completions", "huon-key", chat, []string{HeaderNotRepeatable, "perhaps"}, 400, apierr.BadRequest},
-		"marked without a key":  {"/v1/chat/completions", "huon-key", chat, []string{HeaderNotRepeatable, "true"}, 400, apierr.IdempotencyRequired},
-		"service without a key": {"/v1/services/bookings", "huon-key", "{}", nil, 400, apierr.IdempotencyRequired},
-		"key too long": {
+		"no bearer key":                          {"/v1/chat/completions", "", chat, nil, 401, apierr.Unauthorised},
+		"unknown bearer key":                     {"/v1/chat/completions", "nobody", chat, nil, 401, apierr.Unauthorised},
+		"pipeline of another organisation":       {"/v1/pipelines/private", "huon-key", "{}", nil, 404, apierr.NotFound},
+		"unknown pipeline":                       {"/v1/chat/completions", "huon-key", strings.Replace(chat, "reports", "none", 1), nil, 404, apierr.NotFound},
+		"unknown path":                           {"/v2", "huon-key", chat, nil, 404, apierr.NotFound},
+		"invalid JSON":                           {"/v1/chat/completions", "huon-key", "{", nil, 400, apierr.BadRequest},
+		"no messages":                            {"/v1/chat/completions", "huon-key", `{"model":"reports"}`, nil, 400, apierr.BadRequest},
+		"body too large":                         {"/v1/chat/completions", "huon-key", strings.Repeat(" ", 5000) + chat, nil, 413, apierr.TooLarge},
+		"deadline not a number":                  {"/v1/chat/completions", "huon-key", chat, []string{HeaderDeadline, "soon"}, 400, apierr.BadRequest},
+		"negative deadline":                      {"/v1/chat/completions", "huon-key", chat, []string{HeaderDeadline, "-1"}, 400, apierr.BadRequest},
+		"priority out of range":                  {"/v1/chat/completions", "huon-key", chat, []string{HeaderPriority, "10"}, 400, apierr.BadRequest},
+		"not-repeatable header not a boolean":    {"/v1/chat/completions", "huon-key", chat, []string{HeaderNotRepeatable, "perhaps"}, 400, apierr.BadRequest},
+		"not repeatable without idempotency key": {"/v1/chat/completions", "huon-key", chat, []string{HeaderNotRepeatable, "true"}, 400, apierr.IdempotencyRequired},
+		"service without idempotency key":        {"/v1/services/bookings", "huon-key", "{}", nil, 400, apierr.IdempotencyRequired},
+		"idempotency key too long": {
 			"/v1/services/bookings", "huon-key", "{}",
 			[]string{HeaderIdempotencyKey, strings.Repeat("k", MaxIdempotencyKeyBytes+1)}, 400, apierr.BadRequest,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := &fakes{}
-			ts, _ := serve(t, f)
+			f := &fakeBackend{}
+			ts, _ := newTestServer(t, f)
 			resp, e := post(t, ts.URL+c.path, c.key, c.body, c.headers...)
 			require.Equal(t, c.status, resp.StatusCode)
 			require.Equal(t, c.code, e.Code)
 			require.Equal(t, apierr.NotRun, e.Run)
 			require.Equal(t, resp.Header.Get(HeaderRequestID), e.RequestID)
-			require.Empty(t, f.requests, "a refused request never reaches the executor")
+			require.Empty(t, f.requests, "a rejected request must not reach the executor")
 		})
 	}
 }
 
-func TestAdmissionsRefusalTellsWhenToComeBack(t *testing.T) {
-	f := &fakes{enterErr: apierr.New(429, apierr.RateLimited, "too many").After(1500 * time.Millisecond)}
-	ts, _ := serve(t, f)
+func TestAdmissionErrorSetsRetryAfter(t *testing.T) {
+	f := &fakeBackend{admissionErr: apierr.New(429, apierr.RateLimited, "too many").After(1500 * time.Millisecond)}
+	ts, _ := newTestServer(t, f)
 	resp, e := post(t, ts.URL+"/v1/pipelines/reports", "huon-key", "{}")
 	require.Equal(t, 429, resp.StatusCode)
 	require.Equal(t, "2", resp.Header.Get("Retry-After"))
 	require.EqualValues(t, 1500, e.RetryAfterMs)
-	require.Zero(t, f.bad, "an organisation over its own rate says nothing about the service level")
+	require.Zero(t, f.bad, "rate limiting must not count against the service level")
 }
 
-func TestOptionsReachTheExecutor(t *testing.T) {
-	f := &fakes{result: executor.Result{Status: 201, ContentType: "text/plain", Body: []byte("booked")}}
-	ts, _ := serve(t, f)
+func TestOptionsReachExecutor(t *testing.T) {
+	f := &fakeBackend{result: executor.Result{Status: 201, ContentType: "text/plain", Body: []byte("booked")}}
+	ts, _ := newTestServer(t, f)
 	resp, _ := post(t, ts.URL+"/v1/services/bookings/huts/7", "huon-key", "blankets", HeaderIdempotencyKey, "k-1",
 		HeaderDeadline, "60000", HeaderPriority, "9", "Content-Type", "text/plain")
 	require.Equal(t, 201, resp.StatusCode)
@@ -285,13 +287,13 @@
 	require.Equal(t, http.MethodPost, r.Method)
 	require.Equal(t, "k-1", r.IdempotencyKey)
 	require.True(t, r.NotRepeatable)
-	require.Equal(t, 5, r.Priority, "capped by the organisation")
-	require.LessOrEqual(t, time.Until(r.Deadline), 3*time.Second, "capped by the service")
+	require.Equal(t, 5, r.Priority, "priority must be capped at the organisation's highest")
+	require.LessOrEqual(t, time.Until(r.Deadline), 3*time.Second, "deadline must be capped at the service's deadline")
 }
 
-func TestDrainRefusesTheNewTruthfully(t *testing.T) {
-	f := &fakes{}
-	ts, g := serve(t, f)
+func TestDrainRejectsNewRequestsAsNotRun(t *testing.T) {
+	f := &fakeBackend{}
+	ts, g := newTestServer(t, f)
 	g.Drain()
 	resp, e := post(t, ts.URL+"/v1/pipelines/reports", "huon-key", "{}")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
@@ -301,17 +303,17 @@
 	require.Empty(t, f.requests)
 }
 
-func TestUnexpectedErrorsSayMayHaveRun(t *testing.T) {
-	f := &fakes{err: errors.New("boom")}
-	ts, _ := serve(t, f)
+func TestUnexpectedErrorReportsMayHaveRun(t *testing.T) {
+	f := &fakeBackend{err: errors.New("boom")}
+	ts, _ := newTestServer(t, f)
 	resp, e := post(t, ts.URL+"/v1/pipelines/reports", "huon-key", "{}")
 	require.Equal(t, http.StatusInternalServerError, resp.StatusCode)
 	require.Equal(t, apierr.MayHaveRun, e.Run)
-	require.NotContains(t, e.Message, "boom", "causes stay inside")
+	require.NotContains(t, e.Message, "boom", "the internal cause must not be sent to the caller")
 }
 
-func TestHalfSentBodyGetsAnAnswer(t *testing.T) {
-	ts, _ := serve(t, &fakes{})
+func TestIncompleteBodyIsRejected(t *testing.T) {
+	ts, _ := newTestServer(t, &fakeBackend{})
 	c, err := net.Dial("tcp", ts.Listener.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
@@ -329,18 +331,18 @@
 		key, body string
 		status    int
 	}{
-		"good":               {"announce", good, 200},
-		"no key":             {"", good, 401},
-		"another pool's key": {"desk", good, 403},
-		"caller's key":       {"huon-key", good, 403},
-		"unknown domain":     {"announce", strings.Replace(good, `"a"`, `"z"`, 1), 400},
-		"not the pool's":     {"announce", strings.Replace(good, `"a"`, `"b"`, 1), 400},
-		"no incarnation":     {"announce", strings.Replace(good, `"incarnation":"1",`, "", 1), 400},
-		"no JSON":            {"announce", "pool", 400},
+		"valid":                      {"announce", good, 200},
+		"no bearer key":              {"", good, 401},
+		"key of another pool":        {"desk", good, 403},
+		"key of a caller":            {"huon-key", good, 403},
+		"unknown failure domain":     {"announce", strings.Replace(good, `"a"`, `"z"`, 1), 400},
+		"failure domain not in pool": {"announce", strings.Replace(good, `"a"`, `"b"`, 1), 400},
+		"no incarnation":             {"announce", strings.Replace(good, `"incarnation":"1",`, "", 1), 400},
+		"invalid JSON":               {"announce", "pool", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := &fakes{}
-			ts, _ := serve(t, f)
+			f := &fakeBackend{}
+			ts, _ := newTestServer(t, f)
 			resp, _ := post(t, ts.URL+"/v1/announce", c.key, c.body)
 			require.Equal(t, c.status, resp.StatusCode)
 			require.Equal(t, c.status == 200, len(f.announced) == 1)
@@ -352,11 +354,11 @@
 	f.Add([]byte(`{"model":"reports","messages":[]}`))
 	f.Add([]byte(`{"model":7}`))
 	set := testSet()
-	in := &InForce{Version: 1, Set: set, Keys: auth.NewIndex(set)}
-	fk := &fakes{result: executor.Result{Status: 200, Body: []byte("{}")}}
+	inForce := &InForce{Version: 1, Set: set, Keys: auth.NewIndex(set)}
+	backend := &fakeBackend{result: executor.Result{Status: 200, Body: []byte("{}")}}
 	g := New(Options{
-		Executor: fk, Admission: fk, Announcer: fk, Observer: fk, Log: logr.Discard(),
-		InForce: func() *InForce { return in }, Limits: Limits{MaxBody: 1 << 20, BodyTimeout: time.Second},
+		Executor: backend, Admission: backend, Announcer: backend, Observer: backend, Log: logr.Discard(),
+		InForce: func() *InForce { return inForce }, Limits: Limits{MaxBody: 1 << 20, BodyTimeout: time.Second},
 	})
 	h := g.Handler()
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/pkg/gateway/requests.go
+++ b/pkg/gateway/requests.go
@@ -17,7 +17,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/executor"
 )
 
-// modelList is the answer to GET /v1/models, in the OpenAI shape.
+// modelList is the response body of GET /v1/models, in the OpenAI format.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
@@ -30,7 +30,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// chatRequest is the part of a chat-completions body that the gateway reads.
+// chatRequest holds the fields of a chat-completions request that the gateway reads.
 type chatRequest struct {
 	Model         string          `json:"model"`
 	Stream        bool            `json:"stream"`
@@ -40,8 +40,8 @@
 	} `json:"stream_options"`
 }
 
-// models lists the pipelines that the caller may use.
-func (g *Gateway) models(c *caller) error {
+// handleModels serves GET /v1/models. It lists the pipelines that the caller's organisation may use.
+func (g *Gateway) handleModels(c *callerRequest) error {
 	list := modelList{Object: "list", Data: []model{}}
 	for name, p := range c.inForce.Set.Pipelines {
 		if allowed(p.Organisations, c.organisation) {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// chat serves POST /v1/chat/completions.
-func (g *Gateway) chat(c *caller) error {
+// handleChat serves POST /v1/chat/completions.
+func (g *Gateway) handleChat(c *callerRequest) error {
 	body, err := g.readBody(c)
 	if err != nil {
 		return err
@@ -70,22 +70,22 @@
 	if err != nil {
 		return err
 	}
-	r, err := c.request(plan, body)
+	r, err := c.executorRequest(plan, body)
 	if err != nil {
 		return err
 	}
 	r.ContentType = "application/json"
 	if !req.Stream {
-		return g.whole(c, r)
+		return g.runBuffered(c, r)
 	}
 	if !plan.CanStream() {
 		return apierr.New(http.StatusBadRequest, apierr.BadRequest, "pipeline %q does not end in one chat stage and can't stream", plan.Name)
 	}
-	return g.streamed(c, r, req.StreamOptions.IncludeUsage)
+	return g.runStreaming(c, r, req.StreamOptions.IncludeUsage)
 }
 
-// pipeline serves POST /v1/pipelines/{name}.
-func (g *Gateway) pipeline(c *caller) error {
+// handlePipeline serves POST /v1/pipelines/{name}.
+func (g *Gateway) handlePipeline(c *callerRequest) error {
 	plan, err := c.pipelinePlan(chi.URLParam(c.r, "name"))
 	if err != nil {
 		return err
@@ -94,19 +94,19 @@
 	if err != nil {
 		return err
 	}
-	r, err := c.request(plan, body)
+	r, err := c.executorRequest(plan, body)
 	if err != nil {
 		return err
 	}
-	return g.whole(c, r)
+	return g.runBuffered(c, r)
 }
 
-// service serves any method on /v1/services/{name} and the paths below it.
-func (g *Gateway) service(c *caller) error {
+// handleService serves any method on /v1/services/{name} and the paths below it.
+func (g *Gateway) handleService(c *callerRequest) error {
 	name := chi.URLParam(c.r, "name")
 	s, ok := c.inForce.Set.Services[name]
 	if !ok || !allowed(s.Organisations, c.organisation) {
-		return notFound("service", name)
+		return notFoundError("service", name)
 	}
 	plan, err := executor.PlanService(c.inForce.Set, name)
 	if err != nil {
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := c.request(plan, body)
+	r, err := c.executorRequest(plan, body)
 	if err != nil {
 		return err
 	}
@@ -124,13 +124,14 @@
 	if rest := chi.URLParam(c.r, "*"); rest != "" {
 		r.Path = "/" + rest
 	}
-	return g.whole(c, r)
+	return g.runBuffered(c, r)
 }
 
-func (c *caller) pipelinePlan(name string) (*executor.Plan, error) {
+// pipelinePlan returns the execution plan of a pipeline, or not_found if the caller's organisation may not use it.
+func (c *callerRequest) pipelinePlan(name string) (*executor.Plan, error) {
 	p, ok := c.inForce.Set.Pipelines[name]
 	if !ok || !allowed(p.Organisations, c.organisation) {
-		return nil, notFound("pipeline", name)
+		return nil, notFoundError("pipeline", name)
 	}
 	plan, err := executor.PlanPipeline(c.inForce.Set, name)
 	if err != nil {
@@ -139,23 +140,25 @@
 	return plan, nil
 }
 
-func notFound(kind, name string) error {
+func notFoundError(kind, name string) error {
 	return apierr.New(http.StatusNotFound, apierr.NotFound, "there is no %s %q for this organisation", kind, name)
 }
 
+// allowed reports whether o is in organisations; an empty list allows all.
 func allowed(organisations []string, o *config.Organisation) bool {
 	return len(organisations) == 0 || slices.Contains(organisations, o.Name)
 }
 
-// request builds the executor's request from the caller's headers.
-func (c *caller) request(plan *executor.Plan, body []byte) (executor.Request, error) {
+// executorRequest builds the request to the executor from the body and the request headers. It returns an *apierr.Error if
+// a header is invalid, or if a not-repeatable request has no idempotency key.
+func (c *callerRequest) executorRequest(plan *executor.Plan, body []byte) (executor.Request, error) {
 	opts, err := readOptions(c.r.Header, plan.Deadline, c.organisation)
 	if err != nil {
 		return executor.Request{}, err
 	}
 	notRepeatable := opts.notRepeatable || !plan.Repeatable()
 	if notRepeatable && opts.idempotencyKey == "" {
-		return executor.Request{}, keyRequired()
+		return executor.Request{}, keyRequiredError()
 	}
 	return executor.Request{
 		ID:             c.id,
@@ -163,15 +166,15 @@
 		Plan:           plan,
 		ContentType:    c.r.Header.Get("Content-Type"),
 		Body:           body,
-		Deadline:       c.began.Add(opts.deadline),
+		Deadline:       c.receivedAt.Add(opts.deadline),
 		Priority:       opts.priority,
 		IdempotencyKey: opts.idempotencyKey,
 		NotRepeatable:  notRepeatable,
 	}, nil
 }
 
-// enter waits for admission.
-func (g *Gateway) enter(c *caller, r executor.Request) (func(), error) {
+// admit waits for admission. The caller calls the returned function when the request has ended.
+func (g *Gateway) admit(c *callerRequest, r executor.Request) (func(), error) {
 	return g.Admission.Enter(c.r.Context(), admission.Request{
 		Organisation: r.Organisation,
 		Pipeline:     r.Plan.Name,
@@ -180,22 +183,22 @@
 	})
 }
 
-// whole runs a request and writes its whole answer.
-func (g *Gateway) whole(c *caller, r executor.Request) error {
-	leave, err := g.enter(c, r)
+// runBuffered runs a request and writes its response at once when it has ended.
+func (g *Gateway) runBuffered(c *callerRequest, r executor.Request) error {
+	release, err := g.admit(c, r)
 	if err != nil {
-		g.observe(c, r, executor.Result{}, err)
+		g.recordResult(c, r, executor.Result{}, err)
 		return err
 	}
-	defer leave()
+	defer release()
 	res, err := g.Executor.Run(c.r.Context(), r, nil)
-	g.observe(c, r, res, err)
+	g.recordResult(c, r, res, err)
 	c.w.Header().Set(HeaderCost, formatStages(res.Stages))
 	if err != nil {
 		return err
 	}
 	if res.OutcomeOmitted {
-		return outcomeOmitted(res)
+		return outcomeOmittedError(res)
 	}
 	h := c.w.Header()
 	h.Set("Content-Type", res.ContentType)
@@ -203,56 +206,59 @@
 		h.Set("Idempotent-Replayed", "true")
 	}
 	c.w.WriteHeader(res.Status)
-	// The caller may be gone; its answer stays under its idempotency key if it has one.
+	// The write fails if the caller has disconnected. With an idempotency key it can still fetch the stored response.
 	_, _ = c.w.Write(res.Body)
 	return nil
 }
 
-func outcomeOmitted(res executor.Result) error {
+// outcomeOmittedError is returned if a request has run, but only the status of its response was stored.
+func outcomeOmittedError(res executor.Result) error {
 	e := apierr.New(http.StatusConflict, apierr.OutcomeNotStored,
 		"the request ran with status %d; its answer was too large to store", res.Status)
 	return e.WithRun(apierr.MayHaveRun)
 }
 
-// streamed runs a request and passes its tokens on as they come.
-func (g *Gateway) streamed(c *caller, r executor.Request, usage bool) error {
+// runStreaming runs a request and writes its tokens as server-sent events as they arrive. includeUsage adds a final
+// event with the token counts.
+func (g *Gateway) runStreaming(c *callerRequest, r executor.Request, includeUsage bool) error {
 	r.Stream = true
-	leave, err := g.enter(c, r)
+	release, err := g.admit(c, r)
 	if err != nil {
-		g.observe(c, r, executor.Result{}, err)
+		g.recordResult(c, r, executor.Result{}, err)
 		return err
 	}
-	defer leave()
-	events := newEventWriter(c, r.Plan.Name, usage, g.Limits.WriteTimeout)
-	res, err := g.Executor.Run(c.r.Context(), r, events.event)
-	g.observe(c, r, res, err)
+	defer release()
+	events := newEventWriter(c, r.Plan.Name, includeUsage, g.Limits.WriteTimeout)
+	res, err := g.Executor.Run(c.r.Context(), r, events.writeEvent)
+	g.recordResult(c, r, res, err)
 	switch {
-	case err != nil && events.begun:
-		// The caller may be gone; a missing end mark tells it that the answer is not whole.
-		_ = events.fail(apierr.From(err), c.id)
+	case err != nil && events.started:
+		// The write fails if the caller has disconnected. The missing [DONE] event tells it that the response is
+		// incomplete.
+		_ = events.writeFailure(apierr.From(err), c.id)
 		return nil
 	case err != nil:
 		return err
 	case res.OutcomeOmitted:
-		return outcomeOmitted(res)
+		return outcomeOmittedError(res)
 	case !res.Streamed:
 		return events.replay(res.Body)
 	}
 	return nil
 }
 
-// observe logs the end of a request and counts it for the burn report.
-func (g *Gateway) observe(c *caller, r executor.Request, res executor.Result, err error) {
+// recordResult logs the result of a request and records it and its cost for the report on the error budget.
+func (g *Gateway) recordResult(c *callerRequest, r executor.Request, res executor.Result, err error) {
 	now := time.Now()
 	good := err == nil && res.Status < http.StatusInternalServerError && !now.After(r.Deadline)
-	if !callersFault(err) {
+	if !isCallerError(err) {
 		g.Observer.Record(r.Plan.Name, r.Organisation, good, now)
 	}
 	for _, s := range res.Stages {
 		g.Observer.RecordCost(r.Plan.Name, r.Organisation, s.Stage, s.Cost, s.Wasted)
 	}
 	log := g.Log.WithValues("request", r.ID, "organisation", r.Organisation, "pipeline", r.Plan.Name,
-		"took_ms", now.Sub(c.began).Milliseconds(), "stages", formatStages(res.Stages))
+		"took_ms", now.Sub(c.receivedAt).Milliseconds(), "stages", formatStages(res.Stages))
 	if err != nil {
 		e := apierr.From(err)
 		log.Info("request failed", "code", e.Code, "run", e.Run, "cause", e.Error())
@@ -261,8 +267,8 @@
 	log.V(1).Info("request done", "status", res.Status, "replayed", res.Replayed)
 }
 
-// callersFault reports whether err says nothing about the service level.
-func callersFault(err error) bool {
+// isCallerError reports whether err was caused by the caller, so that it doesn't count against the service level.
+func isCallerError(err error) bool {
 	var e *apierr.Error
 	if !errors.As(err, &e) {
 		return false
@@ -274,7 +280,8 @@
 	return false
 }
 
-// formatStages writes one "stage;dur=12.3;cost=0.004;waste=0" a stage, milliseconds and units of account.
+// formatStages formats each stage as "stage;dur=12.3;cost=0.004;waste=0", separated by commas. dur is in milliseconds,
+// cost and waste are in units of account.
 func formatStages(stages []executor.StageResult) string {
 	parts := make([]string, 0, len(stages))
 	for _, s := range stages {
--- a/pkg/gateway/answer.go
+++ b/pkg/gateway/response.go
@@ -10,7 +10,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/apierr"
 )
 
-// errorBody is an error in the shape that OpenAI clients read, with the run state besides.
+// errorBody is the JSON body of an error response, in the OpenAI format with added fields such as run.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -35,7 +35,7 @@
 	}}
 }
 
-// writeError answers a request with e.
+// writeError writes e as an error response, with the run state and any retry delay also in headers.
 func writeError(w http.ResponseWriter, e *apierr.Error, requestID string) {
 	h := w.Header()
 	h.Set(HeaderRun, string(e.Run))
@@ -46,6 +46,7 @@
 	writeJSON(w, e.Status, newErrorBody(e, requestID))
 }
 
+// retryAfterSeconds rounds d up, since Retry-After holds whole seconds.
 func retryAfterSeconds(d time.Duration) int {
 	return int(math.Ceil(d.Seconds()))
 }
@@ -53,6 +54,6 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The client may be gone; there is nobody left to tell.
+	// The write fails if the client has disconnected; the error can't be reported to it.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -11,7 +11,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// chunk is one event of a streamed chat completion, in the OpenAI shape.
+// chunk is one event of a streamed chat completion, in the OpenAI format.
 type chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -38,73 +38,73 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// eventWriter writes a streamed answer as server-sent events. The header goes out with the first event, so that
-// a request that fails before it gets a plain error answer.
+// eventWriter writes a streamed response as server-sent events. The response header is sent with the first event, so
+// that a request that fails before it gets an ordinary error response.
 type eventWriter struct {
-	w       http.ResponseWriter
-	rc      *http.ResponseController
-	id      string
-	model   string
-	created int64
-	usage   bool
-	begun   bool
-	next    int
-	// timeout bounds one write to a caller that reads slowly.
+	w            http.ResponseWriter
+	rc           *http.ResponseController
+	id           string
+	model        string
+	created      int64
+	includeUsage bool
+	started      bool
+	nextIndex    int
+	// timeout limits the time of writing one event, for callers that read slowly.
 	timeout time.Duration
 }
 
-func newEventWriter(c *caller, model string, usage bool, timeout time.Duration) *eventWriter {
+func newEventWriter(c *callerRequest, model string, includeUsage bool, timeout time.Duration) *eventWriter {
 	return &eventWriter{
-		w:       c.w,
-		rc:      http.NewResponseController(c.w),
-		id:      c.id,
-		model:   model,
-		created: c.began.Unix(),
-		usage:   usage,
-		timeout: timeout,
+		w:            c.w,
+		rc:           http.NewResponseController(c.w),
+		id:           c.id,
+		model:        model,
+		created:      c.receivedAt.Unix(),
+		includeUsage: includeUsage,
+		timeout:      timeout,
 	}
 }
 
-// event writes one event of the answer. Tokens must come in order, each once.
-func (e *eventWriter) event(ev engine.Event) error {
+// writeEvent writes one event of the response. It returns an error if a token is missing, repeated or out of order.
+func (e *eventWriter) writeEvent(ev engine.Event) error {
 	if ev.End {
-		return e.end(ev.Usage)
+		return e.writeEnd(ev.Usage)
 	}
-	if ev.Index != e.next {
-		return fmt.Errorf("gateway: token %d came where %d was due", ev.Index, e.next)
+	if ev.Index != e.nextIndex {
+		return fmt.Errorf("gateway: received token %d, expected token %d", ev.Index, e.nextIndex)
 	}
 	c := chunkChoice{Delta: chunkDelta{Content: ev.Text}}
-	if e.next == 0 {
+	if e.nextIndex == 0 {
 		c.Delta.Role = "assistant"
 	}
 	if ev.FinishReason != "" {
 		c.FinishReason = &ev.FinishReason
 	}
-	e.next++
-	return e.data(e.chunk([]chunkChoice{c}, nil))
+	e.nextIndex++
+	return e.writeJSON(e.newChunk([]chunkChoice{c}, nil))
 }
 
-// end writes the explicit end mark.
-func (e *eventWriter) end(u engine.Usage) error {
-	if e.usage {
+// writeEnd writes the token counts, if the caller asked for them, and the final [DONE] event.
+func (e *eventWriter) writeEnd(u engine.Usage) error {
+	if e.includeUsage {
 		cu := &chunkUsage{
 			PromptTokens:     u.PromptTokens,
 			CompletionTokens: u.CompletionTokens,
 			TotalTokens:      u.PromptTokens + u.CompletionTokens,
 		}
-		if err := e.data(e.chunk([]chunkChoice{}, cu)); err != nil {
+		if err := e.writeJSON(e.newChunk([]chunkChoice{}, cu)); err != nil {
 			return err
 		}
 	}
-	return e.raw("[DONE]")
+	return e.writeData("[DONE]")
 }
 
-// fail ends a begun stream with an error event and without the end mark.
-func (e *eventWriter) fail(err *apierr.Error, requestID string) error {
-	return e.data(newErrorBody(err, requestID))
+// writeFailure ends a stream that has started with an error event, without the final [DONE] event.
+func (e *eventWriter) writeFailure(err *apierr.Error, requestID string) error {
+	return e.writeJSON(newErrorBody(err, requestID))
 }
 
-func (e *eventWriter) chunk(choices []chunkChoice, u *chunkUsage) chunk {
+func (e *eventWriter) newChunk(choices []chunkChoice, u *chunkUsage) chunk {
 	return chunk{
 		ID:      "chatcmpl-" + e.id,
 		Object:  "chat.completion.chunk",
@@ -115,17 +115,18 @@
 	}
 }
 
-func (e *eventWriter) data(v any) error {
+func (e *eventWriter) writeJSON(v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("gateway: encode event: %w", err)
 	}
-	return e.raw(string(b))
+	return e.writeData(string(b))
 }
 
-func (e *eventWriter) raw(payload string) error {
-	if !e.begun {
-		e.begun = true
+// writeData writes payload as the data of one event and flushes it. The first call sends the response header.
+func (e *eventWriter) writeData(payload string) error {
+	if !e.started {
+		e.started = true
 		h := e.w.Header()
 		h.Set("Content-Type", "text/event-stream")
 		h.Set("Cache-Control", "no-cache")
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// storedChat is the part of a stored chat completion that a replay needs.
+// storedChat holds the fields of a stored chat completion that are needed to replay it as a stream.
 type storedChat struct {
 	Choices []struct {
 		Message struct {
@@ -155,18 +156,18 @@
 	Usage chunkUsage `json:"usage"`
 }
 
-// replay sends the stored answer of an earlier run as one event and the end mark.
+// replay writes the stored response of an earlier run as a single content event, followed by the final events.
 func (e *eventWriter) replay(body []byte) error {
 	var s storedChat
 	if err := json.Unmarshal(body, &s); err != nil || len(s.Choices) == 0 {
-		return fmt.Errorf("gateway: stored answer is no chat completion: %w", errors.Join(err, errNoChoice))
+		return fmt.Errorf("gateway: stored response is not a chat completion: %w", errors.Join(err, errNoChoices))
 	}
 	reason := s.Choices[0].FinishReason
-	if err := e.event(engine.Event{Text: s.Choices[0].Message.Content, FinishReason: reason}); err != nil {
+	if err := e.writeEvent(engine.Event{Text: s.Choices[0].Message.Content, FinishReason: reason}); err != nil {
 		return err
 	}
 	u := engine.Usage{PromptTokens: s.Usage.PromptTokens, CompletionTokens: s.Usage.CompletionTokens}
-	return e.event(engine.Event{End: true, Usage: u})
+	return e.writeEvent(engine.Event{End: true, Usage: u})
 }
 
-var errNoChoice = errors.New("no choice in it")
+var errNoChoices = errors.New("response has no choices")
