--- a/pkg/grant/allocate.go
+++ b/pkg/grant/allocate.go
@@ -10,50 +10,52 @@
 	"github.com/daisyhatch/daisyhatch/pkg/config"
 )
 
-// defaultSpread is the most servers that the units of one request are spread over.
+// defaultSpread is the number of servers that the units of a demand are spread over when the demand sets none.
 const defaultSpread = 24
 
-// turn is how long a holder keeps a unit that can't be divided between more holders.
-const turn = time.Second
+// rotationPeriod is the interval at which the remainder of a budget, less than one unit for each holder, passes to the
+// next holders.
+const rotationPeriod = time.Second
 
 // Rebalancing between the servers of one holder.
 const (
-	// rebalanceGap is the difference of load from which units are moved.
+	// rebalanceGap is the least difference of load, as a share of the budget, at which units are moved.
 	rebalanceGap = 0.25
-	// remoteFactor makes a server of another failure domain look this much busier.
+	// remoteFactor multiplies the load of a server in another failure domain.
 	remoteFactor = 1.25
 )
 
-// allocation is the work of one PoolDemand.
+// allocation is the state of answering one PoolDemand.
 type allocation struct {
-	g       *Grantor
-	h       *holder
-	request *daisyhatchv1.AcquireRequest
-	demand  *daisyhatchv1.PoolDemand
-	pool    *pool
-	config  *config.Pool
-	now     time.Time
-	slots   []slot
+	g          *Grantor
+	h          *holder
+	request    *daisyhatchv1.AcquireRequest
+	demand     *daisyhatchv1.PoolDemand
+	pool       *pool
+	config     *config.Pool
+	now        time.Time
+	candidates []candidate
 }
 
-// slot is one server as a source of units for the holder.
-type slot struct {
+// candidate is a server that units may be granted of to the holder.
+type candidate struct {
 	server *server
-	// held is what the holder has of it; units is what it gets.
+	// held is the number of units that the holder has; units is the number that it is granted.
 	held  int
 	units int
-	// free is the most that the holder may get.
+	// free is the most units that the holder may be granted, including those that it has.
 	free   int
 	budget int
-	// near is true in the holder's own failure domain, local if there is room too.
-	near  bool
-	local bool
-	avoid bool
-	alone bool
+	// sameDomain is true for a server in the holder's failure domain; localWithRoom if also at least a quarter of its
+	// budget is free.
+	sameDomain    bool
+	localWithRoom bool
+	avoid         bool
+	exclusive     bool
 }
 
-// allocate answers one demand: it renews what the holder has as far as its fair share and the budgets allow, then
-// adds units of other servers.
+// allocate answers one demand: it renews the holder's units as far as its fair share and the budgets allow, then adds
+// units of other servers.
 func (g *Grantor) allocate(h *holder, r *daisyhatchv1.AcquireRequest, d *daisyhatchv1.PoolDemand, out *daisyhatchv1.AcquireResponse, now time.Time) {
 	p, c := g.pool(d.Pool), g.poolConfig(d.Pool)
 	if d.Want == 0 {
@@ -64,27 +66,27 @@
 	if c == nil {
 		return
 	}
-	a := &allocation{g: g, h: h, request: r, demand: d, pool: p, config: c, now: now, slots: g.scratch.slots[:0]}
-	budget := a.collect()
+	a := &allocation{g: g, h: h, request: r, demand: d, pool: p, config: c, now: now, candidates: g.scratch.candidates[:0]}
+	budget := a.collectCandidates()
 	demand := 0
 	for _, w := range p.wants {
 		demand += w
 	}
-	if len(a.slots) > 0 {
+	if len(a.candidates) > 0 {
 		s := &daisyhatchv1.PoolSupply{
-			Pool: d.Pool, Servers: uint32(len(a.slots)), Budget: uint32(budget), Demand: uint32(demand), PoolNumber: p.number,
+			Pool: d.Pool, Servers: uint32(len(a.candidates)), Budget: uint32(budget), Demand: uint32(demand), PoolNumber: p.number,
 		}
 		addSupply(out, s, d.PoolNumber != 0)
 	}
-	if demand > budget && len(a.slots) > 0 {
+	if demand > budget && len(a.candidates) > 0 {
 		out.RenewMs = RenewContended.Milliseconds()
 	}
-	a.exclusive(int(d.ExclusiveWant))
-	a.share(min(int(d.Want), a.fairShare(budget, demand)))
+	a.grantExclusive(int(d.ExclusiveWant))
+	a.distribute(min(int(d.Want), a.fairShare(budget, demand)))
 	a.commit(out)
 }
 
-// addSupply adds a supply to an answer, by its numbers only when the holder knows the pool's.
+// addSupply adds a supply to an answer, in the compact lists when the holder knows the pool's number.
 func addSupply(out *daisyhatchv1.AcquireResponse, s *daisyhatchv1.PoolSupply, known bool) {
 	if !known {
 		out.Supplies = append(out.Supplies, s)
@@ -95,11 +97,12 @@
 	out.PoolDemands = append(out.PoolDemands, s.Demand)
 }
 
-// collect finds the servers that may be granted and returns the sum of their budgets.
-func (a *allocation) collect() int {
+// collectCandidates fills a.candidates with the servers that units may be granted of, sorted, and returns the sum of
+// their budgets.
+func (a *allocation) collectCandidates() int {
 	total := 0
 	for _, s := range a.pool.servers {
-		if !a.g.grants(s.shard, a.now) {
+		if !a.g.mayGrant(s.shard, a.now) {
 			continue
 		}
 		b := s.budget(a.config, a.now)
@@ -107,14 +110,14 @@
 			continue
 		}
 		total += b
-		a.slots = append(a.slots, a.slot(s, b))
+		a.candidates = append(a.candidates, a.candidate(s, b))
 	}
-	a.slots = a.g.scratch.sort(a.slots, a.g.rng)
+	a.candidates = a.g.scratch.sort(a.candidates, a.g.rng)
 	return total
 }
 
-func (a *allocation) slot(s *server, budget int) slot {
-	t := slot{server: s, budget: budget}
+func (a *allocation) candidate(s *server, budget int) candidate {
+	t := candidate{server: s, budget: budget}
 	own := 0
 	for i := range s.charges {
 		if c := &s.charges[i]; c.holder == a.h {
@@ -123,71 +126,72 @@
 		}
 	}
 	t.held = own
-	t.free = max(0, budget-(s.charged-own)-a.g.unknown(s, a.now))
-	if s.aloneFor(a.now) != nil {
+	t.free = max(0, budget-(s.charged-own)-a.g.formerCallLimit(s, a.now))
+	if s.reservation(a.now) != nil {
 		t.free = 0
 	}
-	t.near = s.ann.FailureDomain == a.h.domain
-	t.local = t.near && 4*t.free >= budget
+	t.sameDomain = s.ann.FailureDomain == a.h.domain
+	t.localWithRoom = t.sameDomain && 4*t.free >= budget
 	return t
 }
 
-// unknown bounds the calls that started under a former grantor and may still run on the server: as many as it ran in
-// any report since, or any number while there was none.
-func (g *Grantor) unknown(s *server, now time.Time) int {
-	if !now.Before(g.shards[s.shard].recovered) {
+// formerCallLimit returns the most calls that started under a former grantor and may still run on the server: the least
+// number of calls in any report since then, or unreportedLoad before the first report.
+func (g *Grantor) formerCallLimit(s *server, now time.Time) int {
+	if !now.Before(g.shards[s.shard].recoveredAt) {
 		return 0
 	}
-	return s.leftover
+	return s.formerCalls
 }
 
-// shares is how the budget of a pool is divided while holders want more than there is.
+// shares is the max-min fair division of a pool's budget while demand exceeds it.
 type shares struct {
 	at     time.Time
 	budget int
-	// level is what each holder gets that wants more; the rest goes round between those.
-	level int
-	rest  int
-	// above holds the holders that want more than level, by name.
-	above []*holder
-	wants map[*holder]int
+	// level is the number of units for each holder that wants more than that. The remainder, one more unit for some of
+	// these holders, rotates between them.
+	level     int
+	remainder int
+	// unsatisfied are the holders that want more than level, sorted by key.
+	unsatisfied []*holder
+	wants       map[*holder]int
 }
 
-// sharesLife is how long shares are used while the wants of the holders that ask are unchanged.
-const sharesLife = 100 * time.Millisecond
+// sharesTTL is how long shares are reused while the budget and the asking holder's want are unchanged.
+const sharesTTL = 100 * time.Millisecond
 
-// fairShare returns the holder's max-min fair share of the budget. Units that can't be divided go round between
-// the holders with time.
+// fairShare returns the holder's max-min fair share of the budget, in units. The remainder of the division rotates
+// between the holders every rotationPeriod.
 func (a *allocation) fairShare(budget, demand int) int {
 	want := int(a.demand.Want)
 	if demand <= budget {
 		return want
 	}
 	sh := a.pool.shares
-	if sh == nil || sh.budget != budget || sh.wants[a.h] != want || a.now.Sub(sh.at) >= sharesLife {
-		sh = divide(a.pool.wants, budget, a.now)
+	if sh == nil || sh.budget != budget || sh.wants[a.h] != want || a.now.Sub(sh.at) >= sharesTTL {
+		sh = divideBudget(a.pool.wants, budget, a.now)
 		a.pool.shares = sh
 	}
 	if want <= sh.level {
 		return want
 	}
-	n := len(sh.above)
-	pos := slices.Index(sh.above, a.h)
-	first := int(a.now.Sub(a.g.start)/turn) * sh.rest % n
-	if (pos-first+n)%n < sh.rest {
+	n := len(sh.unsatisfied)
+	pos := slices.Index(sh.unsatisfied, a.h)
+	first := int(a.now.Sub(a.g.startedAt)/rotationPeriod) * sh.remainder % n
+	if (pos-first+n)%n < sh.remainder {
 		return sh.level + 1
 	}
 	return sh.level
 }
 
-// divide computes the shares of a budget that is smaller than the sum of the wants.
-func divide(wants map[*holder]int, budget int, now time.Time) *shares {
+// divideBudget computes the max-min fair shares of a budget that is smaller than the sum of the wants.
+func divideBudget(wants map[*holder]int, budget int, now time.Time) *shares {
 	sh := &shares{at: now, budget: budget, wants: maps.Clone(wants)}
 	sorted := slices.Sorted(maps.Values(wants))
 	left := budget
 	for i, w := range sorted {
 		n := len(sorted) - i
-		sh.level, sh.rest = left/n, left%n
+		sh.level, sh.remainder = left/n, left%n
 		if w > sh.level {
 			break
 		}
@@ -195,10 +199,10 @@
 	}
 	for h, w := range wants {
 		if w > sh.level {
-			sh.above = append(sh.above, h)
+			sh.unsatisfied = append(sh.unsatisfied, h)
 		}
 	}
-	slices.SortFunc(sh.above, func(x, y *holder) int { return compareKeys(x.key, y.key) })
+	slices.SortFunc(sh.unsatisfied, func(x, y *holder) int { return compareKeys(x.key, y.key) })
 	return sh
 }
 
@@ -206,44 +210,44 @@
 	return cmp.Or(cmp.Compare(a.vm, b.vm), cmp.Compare(a.incarnation, b.incarnation))
 }
 
-// share spreads n units over the servers. Each server gives one chunk before any gives more; servers that the
-// holder has keep what it has before others add.
-func (a *allocation) share(n int) {
+// distribute spreads n units over the servers: first it renews the holder's present units, up to one chunk for each
+// server and then all of them, then it adds units, up to one chunk for each server and then up to what is free.
+func (a *allocation) distribute(n int) {
 	spread := int(a.demand.Spread)
 	if spread == 0 {
 		spread = defaultSpread
 	}
 	chunk := max(1, (n+spread-1)/spread)
-	give := func(t *slot, most int) {
-		if t.alone || t.avoid {
+	give := func(t *candidate, most int) {
+		if t.exclusive || t.avoid {
 			return
 		}
 		k := max(0, min(n, most-t.units, t.free-t.units))
 		t.units += k
 		n -= k
 	}
-	for i := range a.slots {
-		give(&a.slots[i], min(chunk, a.slots[i].held))
+	for i := range a.candidates {
+		give(&a.candidates[i], min(chunk, a.candidates[i].held))
 	}
-	for i := range a.slots {
-		give(&a.slots[i], a.slots[i].held)
+	for i := range a.candidates {
+		give(&a.candidates[i], a.candidates[i].held)
 	}
-	for i := range a.slots {
-		give(&a.slots[i], chunk)
+	for i := range a.candidates {
+		give(&a.candidates[i], chunk)
 	}
-	for i := range a.slots {
-		give(&a.slots[i], a.slots[i].free)
+	for i := range a.candidates {
+		give(&a.candidates[i], a.candidates[i].free)
 	}
 	a.rebalance(chunk)
 }
 
-// rebalance moves a few units from the busiest server that the holder has to the idlest, so that servers that return
-// or join get work although the demand is met.
+// rebalance moves up to one chunk of units from the most to the least loaded server, so that servers that return or
+// join get work even when the demand is already met.
 func (a *allocation) rebalance(chunk int) {
-	var from, to *slot
-	for i := range a.slots {
-		t := &a.slots[i]
-		if t.alone || t.avoid {
+	var from, to *candidate
+	for i := range a.candidates {
+		t := &a.candidates[i]
+		if t.exclusive || t.avoid {
 			continue
 		}
 		if t.units > 0 && (from == nil || t.load() > from.load()) {
@@ -261,25 +265,26 @@
 	to.units += n
 }
 
-// load returns the share of the server's budget that is charged; servers of other failure domains look busier.
-func (t *slot) load() float64 {
+// load returns the share of the server's budget that is charged, times remoteFactor in another failure domain.
+func (t *candidate) load() float64 {
 	l := float64(t.server.charged+max(0, t.units-t.held)) / float64(t.budget)
-	if !t.near {
+	if !t.sameDomain {
 		l *= remoteFactor
 	}
 	return l
 }
 
-// exclusive grants up to n servers on which nothing else can be in flight. Servers reserved earlier come first, unless
-// the holder saw them fail, then idle ones, then the one with the least work, which is kept free until its calls have ended.
-func (a *allocation) exclusive(n int) {
-	for i := range a.slots {
-		t := &a.slots[i]
-		if t.server.aloneFor(a.now) != a.h {
+// grantExclusive reserves up to n servers for one call each and grants those where nothing else can be in flight. It
+// keeps the holder's earlier reservations, except for servers that the holder saw fail, and then reserves the servers
+// with the fewest charged units. A reserved server gets no new units, so that its calls end.
+func (a *allocation) grantExclusive(n int) {
+	for i := range a.candidates {
+		t := &a.candidates[i]
+		if t.server.reservation(a.now) != a.h {
 			continue
 		}
 		if n == 0 || t.avoid {
-			t.server.alone = nil
+			t.server.reservedFor = nil
 			continue
 		}
 		n--
@@ -295,11 +300,11 @@
 	}
 }
 
-func (a *allocation) leastCharged() *slot {
-	var best *slot
-	for i := range a.slots {
-		t := &a.slots[i]
-		if t.avoid || t.server.aloneFor(a.now) != nil {
+func (a *allocation) leastCharged() *candidate {
+	var best *candidate
+	for i := range a.candidates {
+		t := &a.candidates[i]
+		if t.avoid || t.server.reservation(a.now) != nil {
 			continue
 		}
 		if best == nil || t.server.charged < best.server.charged {
@@ -309,32 +314,32 @@
 	return best
 }
 
-// reserve keeps a server for the holder and grants it once nothing else can be in flight there.
-func (a *allocation) reserve(t *slot) {
+// reserve reserves a server for the holder, and grants one exclusive unit once nothing else can be in flight there.
+func (a *allocation) reserve(t *candidate) {
 	s := t.server
-	s.alone, s.aloneUntil = a.h, a.now.Add(reservePeriod)
-	t.alone, t.free = true, 0
-	c := s.charge(a.h)
+	s.reservedFor, s.reservedUntil = a.h, a.now.Add(reservePeriod)
+	t.exclusive, t.free = true, 0
+	c := s.chargeOf(a.h)
 	a.h.servers[s] = struct{}{}
 	idle := c.inFlight == 0 && s.charged == c.units && (c.units == 0 || c.exclusive)
-	if idle && a.g.unknown(s, a.now) == 0 {
+	if idle && a.g.formerCallLimit(s, a.now) == 0 {
 		t.units = 1
 	}
 }
 
-// commit charges what was allocated and adds the grants to the response.
+// commit charges the allocated units and adds the grants to the response.
 func (a *allocation) commit(out *daisyhatchv1.AcquireResponse) {
-	for i := range a.slots {
-		t := &a.slots[i]
+	for i := range a.candidates {
+		t := &a.candidates[i]
 		if t.units == 0 {
 			continue
 		}
 		s := t.server
 		a.h.servers[s] = struct{}{}
-		c := s.charge(a.h)
+		c := s.chargeOf(a.h)
 		before := s.charged
-		s.set(c, max(c.units, t.units), c.inFlight)
-		c.exclusive = t.alone
+		s.setUnits(c, max(c.units, t.units), c.inFlight)
+		c.exclusive = t.exclusive
 		if c.incarnation != s.ann.Incarnation {
 			c.incarnation, c.completed = s.ann.Incarnation, 0
 		}
@@ -347,30 +352,30 @@
 	}
 }
 
-// grant returns the message for one server. The announcement is left out when the holder knows it, and within a session
-// all that the number stands for.
-func (a *allocation) grant(t *slot, c *charge) *daisyhatchv1.Grant {
+// grant returns the message for one server. It leaves out what the holder already has: the announcement, and within a
+// session also the warm-up progress and the load report.
+func (a *allocation) grant(t *candidate, c *charge) *daisyhatchv1.Grant {
 	s := t.server
 	g := &daisyhatchv1.Grant{
 		Server:    s.static,
 		Units:     uint32(t.units),
 		TtlMs:     TTL.Milliseconds(),
 		Cold:      s.cold(a.config, a.now),
-		Exclusive: t.alone,
+		Exclusive: t.exclusive,
 		Warmth:    s.warmth.message(),
 		Revision:  s.revision,
 		Budget:    uint32(t.budget),
 		Number:    s.number(),
 	}
 	l := s.ann.Load
-	hasWarmth, hasLoad := c.hasWarmth(s.warmth, a.request), c.hasLoad(l, a.request)
+	hasWarmth, hasLoad := c.recordWarmth(s.warmth, a.request), c.recordLoad(l, a.request)
 	if l != nil {
 		g.Load = &daisyhatchv1.Load{
 			AgeMs: l.AgeMs + a.now.Sub(s.heard).Milliseconds(), Running: l.Running, Queued: l.Queued, Capacity: l.Capacity, Cold: l.Cold,
 		}
 	}
 	switch {
-	case c.number == g.Number && l != nil: // without a server the holder takes an absent report for its last one
+	case c.number == g.Number && l != nil: // without Server, the holder takes an absent load report as unchanged
 		g.Server, g.Revision, g.TtlMs = nil, 0, 0
 		if hasWarmth {
 			g.Warmth = nil
--- a/pkg/grant/bench_test.go
+++ b/pkg/grant/bench_test.go
@@ -14,13 +14,13 @@
 	"github.com/daisyhatch/daisyhatch/pkg/config"
 )
 
-// size is one size of the system.
+// size is the size of a system: its numbers of entry VMs, backend servers and control VMs.
 type size struct {
 	name     string
 	entries  int
 	replicas int
 	controls int
-	// units is what each entry VM wants of the one pool in all.
+	// units is the number of units that each entry VM wants of the only pool, from all grantors together.
 	units int
 }
 
@@ -30,19 +30,19 @@
 	{"design", 308, 2800, 22, 60},
 }
 
-// fabric is all grantors and holders of a system, without a network.
-type fabric struct {
+// cluster is the grantors and holders of a system, which call each other without a network.
+type cluster struct {
 	size
 	now      time.Time
 	grantors []*Grantor
 	holders  []*Holder
 	owner    func(shard uint32) int
-	// bytes counts what one holder sent and received.
+	// bytes is the size of the messages that the first holder sent and received.
 	bytes int
 }
 
-func newFabric(s size) *fabric {
-	f := &fabric{size: s, now: time.Unix(1000, 0), owner: func(shard uint32) int { return int(shard) % s.controls }}
+func newCluster(s size) *cluster {
+	f := &cluster{size: s, now: time.Unix(1000, 0), owner: func(shard uint32) int { return int(shard) % s.controls }}
 	set := &config.Set{
 		FailureDomains: make(map[string]*config.FailureDomain),
 		Pools:          map[string]*config.Pool{poolName: {Concurrency: 16, ColdConcurrency: 2, WarmAfter: 20, ReportsLoad: true}},
@@ -63,8 +63,8 @@
 	return f
 }
 
-// renew renews leases and announcements.
-func (f *fabric) renew() {
+// renew renews all leases and repeats all announcements.
+func (f *cluster) renew() {
 	for shard := range uint32(Shards) {
 		f.grantors[f.owner(shard)].Renewed(shard, 1, true, f.now, f.now)
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// round lets all holders ask all grantors once.
-func (f *fabric) round() {
+// round sends one request of each holder to each grantor and advances the time to the next round.
+func (f *cluster) round() {
 	for i, h := range f.holders {
 		for c := range f.grantors {
 			f.ask(i, h, c)
@@ -89,7 +89,7 @@
 	f.renew()
 }
 
-func (f *fabric) ask(i int, h *Holder, c int) {
+func (f *cluster) ask(i int, h *Holder, c int) {
 	name := fmt.Sprint("grantor-", c)
 	owns := func(shard uint32) bool { return f.owner(shard) == c }
 	want := (f.units + f.controls - 1) / f.controls
@@ -104,13 +104,13 @@
 	h.Apply(name, out, f.now)
 }
 
-// BenchmarkAcquire measures a grantor's work for one request, what the messages of one entry VM take, and the memory of
-// one grantor.
+// BenchmarkAcquire measures the time and allocations of one request, the bytes per second of one entry VM's messages,
+// and the heap memory of one grantor.
 func BenchmarkAcquire(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.name, func(b *testing.B) {
 			var before, after runtime.MemStats
-			f := newFabric(s)
+			f := newCluster(s)
 			for range 8 {
 				f.round()
 			}
@@ -142,7 +142,7 @@
 	}
 }
 
-// cpuTime returns the processor time that the process has used.
+// cpuTime returns the user and system CPU time of the process.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
--- a/pkg/grant/grantor.go
+++ b/pkg/grant/grantor.go
@@ -12,68 +12,69 @@
 	"github.com/daisyhatch/daisyhatch/pkg/invariant"
 )
 
-// ErrStale means that a request is older than one already answered.
+// ErrStale means that a request has a sequence number that is not higher than the last one answered for its holder.
 var ErrStale = errors.New("grant: request out of order")
 
-// Periods of the grantor.
+// Periods and initial values of the grantor.
 const (
-	// doubtPeriod is how long a server counts as cold after a holder saw it die.
-	doubtPeriod = 2 * time.Second
-	// avoidPeriod is how long a holder that saw a server die gets none of its units.
+	// crashColdPeriod is how long a server counts as cold after a holder reported a refused connection or a crash.
+	crashColdPeriod = 2 * time.Second
+	// avoidPeriod is how long a holder that reported such a failure gets no units of the server.
 	avoidPeriod = 2 * time.Second
-	// reservePeriod bounds how long a server is kept free for an exclusive grant.
+	// reservePeriod is how long a reservation for an exclusive grant lasts unless the holder asks again.
 	reservePeriod = 5 * time.Second
-	// defaultDeadline stands in for the longest deadline while no pipeline is configured.
+	// defaultDeadline is the least value of Grantor.maxDeadline, also used before there is a configuration.
 	defaultDeadline = 5 * time.Second
-	// unreported stands for the calls of a server that has not reported its load.
-	unreported = 1 << 30
-	// reportDelay is how long an announcement may be under way.
-	reportDelay = time.Second
+	// unreportedLoad is the number of calls assumed on a server that has not reported its load: more than any budget.
+	unreportedLoad = 1 << 30
+	// maxAnnounceDelay is the longest time that an announcement takes to arrive.
+	maxAnnounceDelay = time.Second
 )
 
-// Grantor lends the budgets of the backend servers in the shards whose leases its VM holds. It is not safe for
-// concurrent use.
+// Grantor divides the concurrency budgets of backend servers between holders, for the shards whose leases its VM holds.
+// It is not safe for concurrent use.
 type Grantor struct {
 	check   *invariant.Recorder
 	version uint64
-	set     *config.Set
-	// longest is the longest deadline of any request.
-	longest time.Duration
-	shards  [Shards]shardState
-	servers map[string]*server
-	pools   map[string]*pool
-	holders map[holderKey]*holder
-	// imported is what other VMs handed over, for shards whose leases are not held yet.
-	imported [Shards]*handedOver
-	// taken is what was taken over and not asked for yet.
-	taken   []*daisyhatchv1.ShardState
-	rng     *rand.Rand
-	start   time.Time
-	numbers *numbers
-	scratch scratch
+	cfg     *config.Set
+	// maxDeadline is the longest deadline of any pipeline or service, and so the longest time that a call may run.
+	maxDeadline time.Duration
+	shards      [Shards]shardState
+	servers     map[string]*server
+	pools       map[string]*pool
+	holders     map[holderKey]*holder
+	// imported is the state that other VMs handed over, for shards whose leases this VM has not acquired yet.
+	imported [Shards]*importedState
+	// takenOver holds the imported states that were put into use since the last call of TakenOver.
+	takenOver []*daisyhatchv1.ShardState
+	rng       *rand.Rand
+	startedAt time.Time
+	numbers   *numbers
+	scratch   scratch
 }
 
 // shardState is the state of one shard's lease.
 type shardState struct {
 	fence uint64
 	until time.Time
-	// exported is true once the state was handed over: nothing is granted under this fence any more.
+	// exported is true once the state was handed over; nothing is granted under this fence after that.
 	exported bool
-	// takenAt is when the lease came from another VM; zero when nobody held it before, or it came with its limits.
-	takenAt time.Time
-	// quiet ends when no grant of a former grantor can be valid any more.
-	quiet time.Time
-	// recovered is when no call that started under a former grantor can be in flight any more.
-	recovered time.Time
+	// takenOverAt is when the lease was taken over from another VM. It is zero when the lease had no former holder, or
+	// when the imported state has KeepsLimits set.
+	takenOverAt time.Time
+	// quietUntil is when the last grant of a former grantor has expired; nothing is granted before.
+	quietUntil time.Time
+	// recoveredAt is when every call that started under a former grantor has ended.
+	recoveredAt time.Time
 }
 
-// pool is what the grantor knows of one pool.
+// pool is the grantor's state of one pool.
 type pool struct {
-	// number stands for the pool within sessions.
+	// number replaces the pool's name in messages of a session.
 	number  uint32
 	servers []*server
 	wants   map[*holder]int
-	// shares is how the budget was divided last; nil before that.
+	// shares is the last division of the budget; nil before the first.
 	shares *shares
 }
 
@@ -82,40 +83,40 @@
 	incarnation string
 }
 
-// holder is what the grantor knows of one entry VM's process.
+// holder is the grantor's state of one process of an entry VM.
 type holder struct {
-	key      holderKey
-	domain   string
-	sequence uint64
-	heard    time.Time
-	servers  map[*server]struct{}
-	// session stands for the holder in its requests; 0 before its first.
+	key           holderKey
+	domain        string
+	sequence      uint64
+	lastRequestAt time.Time
+	servers       map[*server]struct{}
+	// session is the ID that replaces the holder's name in its requests; 0 before its first request.
 	session uint64
 }
 
-// NewGrantor returns a Grantor that holds no lease. rng breaks ties between servers.
+// NewGrantor returns a Grantor that holds no lease. rng breaks ties between servers and provides session IDs.
 func NewGrantor(check *invariant.Recorder, rng *rand.Rand, now time.Time) *Grantor {
 	return &Grantor{
-		start:   now,
-		check:   check,
-		longest: defaultDeadline,
-		servers: make(map[string]*server),
-		pools:   make(map[string]*pool),
-		holders: make(map[holderKey]*holder),
-		rng:     rng,
-		numbers: newNumbers(),
+		startedAt:   now,
+		check:       check,
+		maxDeadline: defaultDeadline,
+		servers:     make(map[string]*server),
+		pools:       make(map[string]*pool),
+		holders:     make(map[holderKey]*holder),
+		rng:         rng,
+		numbers:     newNumbers(),
 	}
 }
 
-// Configure puts a configuration into force. A version that is not higher than the one in force is ignored.
+// Configure applies a configuration. It ignores nil and any version that is not higher than the current one.
 func (g *Grantor) Configure(version uint64, set *config.Set) {
-	if set == nil || g.set != nil && version <= g.version {
+	if set == nil || g.cfg != nil && version <= g.version {
 		return
 	}
-	g.version, g.set = version, set
-	g.longest = longestDeadline(set)
+	g.version, g.cfg = version, set
+	g.maxDeadline = longestDeadline(set)
 	for _, s := range g.servers {
-		g.placeInDomain(s)
+		g.updateDomainState(s)
 	}
 }
 
@@ -130,23 +131,24 @@
 	return longest
 }
 
-// placeInDomain follows the state of the server's failure domain. A server whose domain is taken out counts as cold from
-// then on, also for a VM that comes to grant it only once the domain is back.
-func (g *Grantor) placeInDomain(s *server) {
-	if g.set == nil || s.ann == nil {
+// updateDomainState records whether the server's failure domain is taken out of service. When that happens, the server
+// becomes cold at once, so that a VM that acquires its lease only after the domain is back also treats it as cold.
+func (g *Grantor) updateDomainState(s *server) {
+	if g.cfg == nil || s.ann == nil {
 		return
 	}
-	d := g.set.FailureDomains[s.ann.FailureDomain]
+	d := g.cfg.FailureDomains[s.ann.FailureDomain]
 	out := d == nil || d.Out
-	if !s.out && out {
+	if !s.domainOut && out {
 		s.warmth.turnCold()
 	}
-	s.out = out
+	s.domainOut = out
 }
 
-// Renewed notes that the lease of a shard is held with the fence, as asked for at the time asked. A fence that
-// differs from the last one means that another VM may have granted meanwhile, unless first is true: then nobody ever
-// held the lease before. An answer that comes late, with a lower fence, is ignored.
+// Renewed records that the lease of a shard was acquired or renewed with the fence, by a request sent at asked. With a
+// higher fence than the last one, another VM may have made grants in between, so that the shard starts with a quiet
+// period unless an imported state matches the fence. first is true when the lease never had a holder before. A late
+// answer with a lower fence is ignored.
 func (g *Grantor) Renewed(shard uint32, fence uint64, first bool, asked, now time.Time) {
 	st := &g.shards[shard]
 	if fence < st.fence {
@@ -155,15 +157,15 @@
 	if fence > st.fence {
 		g.resetShard(shard)
 		st.fence, st.exported = fence, false
-		st.quiet = now
-		st.recovered = now
-		st.takenAt = time.Time{}
+		st.quietUntil = now
+		st.recoveredAt = now
+		st.takenOverAt = time.Time{}
 		if !first {
-			st.takenAt = now
+			st.takenOverAt = now
 		}
 		if !g.takeOver(shard, fence, now) && !first {
-			st.quiet = now.Add(QuietPeriod)
-			st.recovered = st.quiet.Add(g.longest)
+			st.quietUntil = now.Add(QuietPeriod)
+			st.recoveredAt = st.quietUntil.Add(g.maxDeadline)
 		}
 	}
 	if until := asked.Add(LeaseTTL); until.After(st.until) && !st.exported {
@@ -171,12 +173,12 @@
 	}
 }
 
-// Lost notes that the lease of a shard is not held any more.
+// Lost records that the lease of a shard is no longer held.
 func (g *Grantor) Lost(shard uint32) {
 	g.shards[shard].until = time.Time{}
 }
 
-// resetShard forgets charges and warm-up of a shard's servers, which another grantor has changed meanwhile.
+// resetShard clears the charges and warm-up state of a shard's servers, since another grantor may have changed them.
 func (g *Grantor) resetShard(shard uint32) {
 	for _, s := range g.servers {
 		if s.shard != shard {
@@ -186,29 +188,29 @@
 			delete(c.holder.servers, s)
 		}
 		s.charges, s.charged, s.reported = nil, 0, 0
-		s.leftover = unreported
+		s.formerCalls = unreportedLoad
 		s.warmth = warmth{}
-		s.alone = nil
+		s.reservedFor = nil
 		g.numbers.renumber(s)
 	}
 }
 
-// Holds reports whether the VM may grant in the shard.
+// Holds reports whether the VM holds the lease of the shard.
 func (g *Grantor) Holds(shard uint32, now time.Time) bool {
 	return now.Before(g.shards[shard].until)
 }
 
-// Tenure returns the fence under which the shard is held and whether it came from another VM so recently that not all
-// holders have asked since.
+// Tenure returns the fence of the shard's lease, and whether the lease was taken over from another VM less than TTL
+// ago, so that some holders may not have sent a request since.
 func (g *Grantor) Tenure(shard uint32, now time.Time) (fence uint64, recent bool) {
 	st := &g.shards[shard]
-	return st.fence, now.Before(st.takenAt.Add(TTL))
+	return st.fence, now.Before(st.takenOverAt.Add(TTL))
 }
 
-// grants reports whether the VM may make grants in the shard: it holds the lease and no former grant is left.
-func (g *Grantor) grants(shard uint32, now time.Time) bool {
+// mayGrant reports whether the VM may make grants in the shard: it holds the lease and the quiet period is over.
+func (g *Grantor) mayGrant(shard uint32, now time.Time) bool {
 	st := &g.shards[shard]
-	return now.Before(st.until) && !now.Before(st.quiet)
+	return now.Before(st.until) && !now.Before(st.quietUntil)
 }
 
 func (g *Grantor) pool(name string) *pool {
@@ -220,14 +222,15 @@
 	return p
 }
 
-// Tick drops holders and servers that have been silent for long enough that nothing of theirs can be in flight.
+// Tick removes holders and servers that have been silent for so long that none of their calls can be in flight. It is
+// called periodically.
 func (g *Grantor) Tick(now time.Time) {
 	for key, h := range g.holders {
-		if now.Sub(h.heard) <= TTL+g.longest {
+		if now.Sub(h.lastRequestAt) <= TTL+g.maxDeadline {
 			continue
 		}
 		for s := range h.servers {
-			s.forget(h)
+			s.removeCharge(h)
 		}
 		for _, p := range g.pools {
 			delete(p.wants, h)
@@ -236,7 +239,7 @@
 		g.numbers.close(h)
 	}
 	for name, s := range g.servers {
-		if now.Sub(s.heard) > AnnounceTTL+g.longest && len(s.charges) == 0 {
+		if now.Sub(s.heard) > AnnounceTTL+g.maxDeadline && len(s.charges) == 0 {
 			g.drop(s, s.ann.Pool)
 			delete(g.servers, name)
 			g.numbers.drop(s)
@@ -244,9 +247,9 @@
 	}
 }
 
-// Acquire answers one holder's request, in which it replaces numbers by what they stand for. It returns ErrStale for a
-// request that is older than one already answered, and ErrUnknownNumber for one whose session or numbers are unknown;
-// neither changes anything.
+// Acquire answers a holder's request. It modifies r: numbers are replaced by the names that they stand for. It returns
+// ErrStale for a request that is older than one already answered, and ErrUnknownNumber for one whose session or numbers
+// are unknown; in both cases the state is unchanged.
 func (g *Grantor) Acquire(r *daisyhatchv1.AcquireRequest, now time.Time) (*daisyhatchv1.AcquireResponse, error) {
 	if err := g.numbers.resolve(r); err != nil {
 		return nil, err
@@ -255,11 +258,11 @@
 	if r.Sequence <= h.sequence {
 		return nil, fmt.Errorf("%w: %d after %d from %s", ErrStale, r.Sequence, h.sequence, r.Vm)
 	}
-	h.sequence, h.heard = r.Sequence, now
+	h.sequence, h.lastRequestAt = r.Sequence, now
 	if r.Session == 0 {
 		h.domain = r.FailureDomain
 	}
-	g.account(h, r, now)
+	g.applyReport(h, r, now)
 	out := &daisyhatchv1.AcquireResponse{
 		Sequence:             r.Sequence,
 		ConfigurationVersion: g.version,
@@ -282,7 +285,8 @@
 	return out, nil
 }
 
-// keptShards returns the shards where the holder has units that this VM can't renew now.
+// keptShards returns, in ascending order, the shards where the holder has units that this VM can't renew because it
+// does not hold the lease. The holder keeps these units until they expire.
 func (g *Grantor) keptShards(h *holder, now time.Time) []uint32 {
 	var out []uint32
 	for s := range h.servers {
@@ -307,13 +311,13 @@
 	return h
 }
 
-// account takes over the holder's own report of what it holds. Replies to its earlier requests that it has not
-// applied by now are dropped by it, so what it reports is all that it can have.
-func (g *Grantor) account(h *holder, r *daisyhatchv1.AcquireRequest, now time.Time) {
+// applyReport replaces the holder's charges by what it reports in the request. The report is complete: the holder drops
+// answers to earlier requests that it has not applied by now. Units from a hand-over stay charged until minUnitsUntil.
+func (g *Grantor) applyReport(h *holder, r *daisyhatchv1.AcquireRequest, now time.Time) {
 	for s := range h.servers {
-		c := s.charge(h)
-		s.set(c, 0, 0)
-		c.told, c.revision, c.number = false, 0, 0
+		c := s.chargeOf(h)
+		s.setUnits(c, 0, 0)
+		c.mentioned, c.revision, c.number = false, 0, 0
 	}
 	for _, d := range r.Demands {
 		for _, u := range d.Uses {
@@ -322,11 +326,11 @@
 				continue
 			}
 			h.servers[s] = struct{}{}
-			c := s.charge(h)
-			s.set(c, int(max(u.Units, u.InFlight)), int(u.InFlight))
-			c.told = true
+			c := s.chargeOf(h)
+			s.setUnits(c, int(max(u.Units, u.InFlight)), int(u.InFlight))
+			c.mentioned = true
 			if p := g.poolConfig(d.Pool); p != nil {
-				s.observe(p, c, u, g.quiet(s.shard, now), now)
+				s.applyUse(p, c, u, g.inQuietPeriod(s.shard, now), now)
 			}
 			c.revision, c.number = u.Revision, u.Number
 			if u.Broken {
@@ -335,30 +339,31 @@
 		}
 	}
 	for s := range h.servers {
-		c := s.charge(h)
-		if !c.told {
-			// The holder has forgotten the announcement too.
+		c := s.chargeOf(h)
+		if !c.mentioned {
+			// The holder has dropped the server, and its announcement with it.
 			c.revision = 0
 		}
-		if now.Before(c.floorUntil) {
-			s.set(c, max(c.units, c.floor), c.inFlight)
+		if now.Before(c.minUnitsUntil) {
+			s.setUnits(c, max(c.units, c.minUnits), c.inFlight)
 			continue
 		}
-		if !c.told && !now.Before(c.avoidUntil) && s.alone != h {
-			s.forget(h)
+		if !c.mentioned && !now.Before(c.avoidUntil) && s.reservedFor != h {
+			s.removeCharge(h)
 			delete(h.servers, s)
 		}
 	}
 }
 
-// quiet reports whether a shard is in its quiet period, in which holders tell what they had of the former grantor.
-func (g *Grantor) quiet(shard uint32, now time.Time) bool {
-	return now.Before(g.shards[shard].quiet)
+// inQuietPeriod reports whether a shard is in its quiet period, in which holders report their grants of the former
+// grantor.
+func (g *Grantor) inQuietPeriod(shard uint32, now time.Time) bool {
+	return now.Before(g.shards[shard].quietUntil)
 }
 
 func (g *Grantor) poolConfig(name string) *config.Pool {
-	if g.set == nil {
+	if g.cfg == nil {
 		return nil
 	}
-	return g.set.Pools[name]
+	return g.cfg.Pools[name]
 }
--- a/pkg/grant/handover.go
+++ b/pkg/grant/handover.go
@@ -8,17 +8,17 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// expectPeriod is how long a state that was passed on lets the VM look for a free lease more often.
-const expectPeriod = 2 * time.Second
+// expectLeasePeriod is how long after an import the VM looks for a free lease more often.
+const expectLeasePeriod = 2 * time.Second
 
-// handedOver is the state of a shard that another VM passed on.
-type handedOver struct {
+// importedState is the state of a shard that another VM handed over, and when it arrived.
+type importedState struct {
 	state *daisyhatchv1.ShardState
 	at    time.Time
 }
 
-// Export stops granting in a shard, for as long as the lease keeps its fence, and returns what a successor needs to go
-// on without a pause. It returns nil when the VM does not grant in the shard or can't account for all calls there.
+// Export stops granting in a shard, for as long as the lease keeps its fence, and returns the state that lets a
+// successor grant without a quiet period. It returns nil when the shard is not Settled.
 func (g *Grantor) Export(shard uint32, now time.Time) *daisyhatchv1.ShardState {
 	st := &g.shards[shard]
 	settled := g.Settled(shard, now)
@@ -39,12 +39,13 @@
 	return out
 }
 
-// Settled reports whether the VM grants in the shard and can account for all calls there.
+// Settled reports whether the VM holds the shard's lease and every call there is charged to a holder: all calls that
+// started under a former grantor have ended.
 func (g *Grantor) Settled(shard uint32, now time.Time) bool {
-	return g.Holds(shard, now) && !now.Before(g.shards[shard].recovered)
+	return g.Holds(shard, now) && !now.Before(g.shards[shard].recoveredAt)
 }
 
-// Exported reports whether the shard was handed over under its present fence; its lease is to be released.
+// Exported reports whether the shard was handed over under its current fence, so that its lease is to be released.
 func (g *Grantor) Exported(shard uint32) bool { return g.shards[shard].exported }
 
 func (s *server) export(now time.Time) *daisyhatchv1.ServerState {
@@ -70,8 +71,9 @@
 	return out
 }
 
-// Import takes over the state of a shard that another VM passed on. It waits for the lease to be acquired, and counts
-// only under the next fence. One that comes after the lease ends the quiet period.
+// Import accepts the state of a shard that another VM exported. The state is kept until the lease is acquired and is
+// used only if the lease's fence follows that of the state. If the lease has been acquired already, the state ends the
+// quiet period.
 func (g *Grantor) Import(state *daisyhatchv1.ShardState, now time.Time) {
 	if state.Shard >= Shards {
 		return
@@ -80,35 +82,36 @@
 	if st.fence > state.Fence+1 {
 		return
 	}
-	g.imported[state.Shard] = &handedOver{state, now}
-	if st.fence == state.Fence+1 && now.Before(st.quiet) {
+	g.imported[state.Shard] = &importedState{state, now}
+	if st.fence == state.Fence+1 && now.Before(st.quietUntil) {
 		g.takeOver(state.Shard, st.fence, now)
-		st.quiet, st.recovered = now, now
+		st.quietUntil, st.recoveredAt = now, now
 	}
 }
 
-// Imported reports whether a state is kept that counts for the holder of a shard after the fence.
+// Imported reports whether there is an imported state of the shard, not put into use yet, that was exported under the
+// fence.
 func (g *Grantor) Imported(shard uint32, fence uint64) bool {
 	h := g.imported[shard]
 	return h != nil && h.state.Fence == fence
 }
 
-// Expecting reports whether a state was passed on lately whose lease is not acquired yet.
+// Expecting reports whether a state was imported within expectLeasePeriod whose lease is not acquired yet.
 func (g *Grantor) Expecting(now time.Time) bool {
 	for _, h := range g.imported {
-		if h != nil && now.Sub(h.at) < expectPeriod {
+		if h != nil && now.Sub(h.at) < expectLeasePeriod {
 			return true
 		}
 	}
 	return false
 }
 
-// Waits reports whether the shard is held, but nothing may be granted yet since a former grantor's grants may last.
+// Waits reports whether the shard is held but in its quiet period, since grants of a former grantor may still be valid.
 func (g *Grantor) Waits(shard uint32, now time.Time) bool {
-	return g.Holds(shard, now) && g.quiet(shard, now)
+	return g.Holds(shard, now) && g.inQuietPeriod(shard, now)
 }
 
-// takeOver starts with what the former grantor handed over. It returns false when there is no state for the fence.
+// takeOver puts the imported state of a shard into use. It returns false when there is none for the fence.
 func (g *Grantor) takeOver(shard uint32, fence uint64, now time.Time) bool {
 	h := g.imported[shard]
 	g.imported[shard] = nil
@@ -119,24 +122,25 @@
 		g.importServer(m, h.at, now)
 	}
 	if h.state.KeepsLimits {
-		g.shards[shard].takenAt = time.Time{}
+		g.shards[shard].takenOverAt = time.Time{}
 	}
-	g.taken = append(g.taken, h.state)
+	g.takenOver = append(g.takenOver, h.state)
 	return true
 }
 
-// TakenOver returns the states that were taken over since the last call.
+// TakenOver returns the imported states that were put into use since the last call.
 func (g *Grantor) TakenOver() []*daisyhatchv1.ShardState {
-	out := g.taken
-	g.taken = nil
+	out := g.takenOver
+	g.takenOver = nil
 	return out
 }
 
-// importServer takes over one server. What came in of it since the lease was acquired stands.
+// importServer adds one server of an imported state, as it was at the time at. A newer incarnation that announced
+// itself to this VM meanwhile is kept.
 func (g *Grantor) importServer(m *daisyhatchv1.ServerState, at, now time.Time) {
 	heard := at.Add(-time.Duration(m.HeardMsAgo) * time.Millisecond)
 	if s := g.servers[m.Announcement.Server]; s == nil || s.sameOrOlder(m.Announcement.Incarnation, heard) {
-		g.importAnnounced(m, heard)
+		g.importAnnouncement(m, heard)
 	}
 	s := g.servers[m.Announcement.Server]
 	for _, c := range m.Charges {
@@ -144,12 +148,12 @@
 	}
 }
 
-// sameOrOlder reports whether what is known of a server is of the incarnation, or was heard before a time.
+// sameOrOlder reports whether the server's announcement is of the incarnation, or arrived before heard.
 func (s *server) sameOrOlder(incarnation string, heard time.Time) bool {
 	return s.ann.Incarnation == incarnation || s.heard.Before(heard)
 }
 
-func (g *Grantor) importAnnounced(m *daisyhatchv1.ServerState, heard time.Time) {
+func (g *Grantor) importAnnouncement(m *daisyhatchv1.ServerState, heard time.Time) {
 	g.Announce(m.Announcement, heard)
 	s := g.servers[m.Announcement.Server]
 	turnedCold := s.warmth.coldCount > 0 && s.warmth.completions == 0
@@ -162,18 +166,18 @@
 
 func (g *Grantor) importCharge(s *server, incarnation string, c *daisyhatchv1.ChargeState, now time.Time) {
 	h := g.holder(&daisyhatchv1.AcquireRequest{Vm: c.Vm, Incarnation: c.Incarnation})
-	if h.heard.IsZero() {
+	if h.lastRequestAt.IsZero() {
 		h.domain = c.FailureDomain
 	}
-	h.sequence, h.heard = max(h.sequence, c.Sequence), now
+	h.sequence, h.lastRequestAt = max(h.sequence, c.Sequence), now
 	h.servers[s] = struct{}{}
-	e := s.charge(h)
-	s.set(e, max(e.units, int(c.Units)), max(e.inFlight, int(c.InFlight)))
+	e := s.chargeOf(h)
+	s.setUnits(e, max(e.units, int(c.Units)), max(e.inFlight, int(c.InFlight)))
 	e.exclusive = c.Exclusive
 	e.incarnation, e.completed = incarnation, int(c.Completed)
-	// The holder may have asked this VM before it got its last grant from the former grantor.
-	e.floor, e.floorUntil = int(c.Units), now.Add(TTL)
+	// The holder may have sent its request to this VM before it got its last grant from the former grantor.
+	e.minUnits, e.minUnitsUntil = int(c.Units), now.Add(TTL)
 	if c.Exclusive {
-		s.alone, s.aloneUntil = h, now.Add(reservePeriod)
+		s.reservedFor, s.reservedUntil = h, now.Add(reservePeriod)
 	}
 }
--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -20,72 +20,72 @@
 // Demand is what a holder wants of one pool from one grantor.
 type Demand struct {
 	Pool string
-	// Units is the count of concurrent calls wanted.
+	// Units is the number of concurrent calls wanted.
 	Units int
-	// Exclusive is the count of servers wanted for one call alone.
+	// Exclusive is the number of servers wanted that run one call and nothing else.
 	Exclusive int
-	// Spread is the most servers to spread the units over; 0 leaves it to the grantor.
+	// Spread is the number of servers to spread the units over; 0 selects the grantor's default.
 	Spread int
 }
 
-// Held is what a holder has of one backend server.
+// Held is a holder's grant of units of one backend server, with its calls there.
 type Held struct {
 	Server    *daisyhatchv1.Announcement
 	Units     int
 	InFlight  int
 	Cold      bool
 	Exclusive bool
-	// Budget is what the server may run at once for all holders.
+	// Budget is the number of calls that the server may run at once for all holders.
 	Budget int
-	// Load is the server's last report, true at LoadAt; nil when there was none.
+	// Load is the server's last load report, measured at LoadAt; nil when there was none.
 	Load   *daisyhatchv1.Load
 	LoadAt time.Time
-	// Until is when new work may no longer start.
+	// Until is when the grant expires; no call starts from then on.
 	Until time.Time
 
-	source   string
+	grantor  string
 	revision uint32
-	// number stands for the announcement within the session with source; 0 for none.
+	// number replaces the announcement in messages of the session with grantor; 0 for none.
 	number uint32
 	warmth *daisyhatchv1.Warmth
-	// completed and failed count the calls of the present incarnation.
+	// completed and failed count the calls on the current incarnation.
 	completed  int
 	failed     int
 	firstToken []time.Duration
 	broken     bool
-	// told is what the unanswered request has reported.
-	told use
+	// reported is what the request that is not answered yet has reported.
+	reported reportedUse
 }
 
-// use is what one report has told, to be dropped once it is answered.
-type use struct {
+// reportedUse is the part of a report that is cleared from the entry once the report is answered.
+type reportedUse struct {
 	tokens int
 	broken bool
 }
 
-// keepEnded is how long the holder remembers a grant that has ended, to tell a new grantor what it had.
-const keepEnded = 10 * time.Second
+// endedRetention is how long the holder keeps an expired grant, in order to report it to a new grantor.
+const endedRetention = 10 * time.Second
 
-// keptFirstTokens bounds the first-token times kept for one report.
-const keptFirstTokens = 32
+// maxFirstTokens is the most first-token times kept for one report.
+const maxFirstTokens = 32
 
 // Holder keeps the grants of one entry VM. It is not safe for concurrent use.
 type Holder struct {
 	id       Identity
 	check    *invariant.Recorder
 	sequence uint64
-	asked    map[string]ask
+	pending  map[string]pendingRequest
 	held     map[string]*Held
-	// order holds the same entries by pool, oldest first.
-	order map[string][]*Held
-	// sessions are by grantor.
+	// byPool has the entries of held by pool, oldest first.
+	byPool map[string][]*Held
+	// sessions are the current sessions by grantor.
 	sessions map[string]*session
-	// words are what servers said in their answers to this VM.
-	words *holdoff.Tracker
+	// notices records what servers said about their availability in answers to this VM.
+	notices *holdoff.Tracker
 }
 
-// ask is the last request to one grantor.
-type ask struct {
+// pendingRequest is the last request to one grantor.
+type pendingRequest struct {
 	sequence uint64
 	at       time.Time
 }
@@ -95,19 +95,19 @@
 	return &Holder{
 		id:       id,
 		check:    check,
-		asked:    make(map[string]ask),
+		pending:  make(map[string]pendingRequest),
 		held:     make(map[string]*Held),
-		order:    make(map[string][]*Held),
+		byPool:   make(map[string][]*Held),
 		sessions: make(map[string]*session),
-		words:    holdoff.NewTracker(),
+		notices:  holdoff.NewTracker(),
 	}
 }
 
-// Ask returns the next request to a grantor, which takes the place of any earlier one that is not answered yet. owns
-// tells which shards that grantor has.
+// Ask returns the next request to a grantor. It replaces an earlier request that is not answered yet: an answer to that
+// one is not applied any more. owns reports whether the grantor holds a shard's lease.
 func (h *Holder) Ask(grantor string, owns func(shard uint32) bool, demands []Demand, now time.Time) *daisyhatchv1.AcquireRequest {
 	h.sequence++
-	h.asked[grantor] = ask{sequence: h.sequence, at: now}
+	h.pending[grantor] = pendingRequest{sequence: h.sequence, at: now}
 	r := &daisyhatchv1.AcquireRequest{Sequence: h.sequence}
 	s := h.sessions[grantor]
 	h.identify(r, s)
@@ -118,9 +118,9 @@
 		pools[d.Pool] = p
 		r.Demands = append(r.Demands, p)
 	}
-	h.trim(grantor, pools)
+	h.releaseSpare(grantor, pools)
 	for name, g := range h.held {
-		if g.source != grantor && !owns(ShardOf(name)) {
+		if g.grantor != grantor && !owns(ShardOf(name)) {
 			continue
 		}
 		p := pools[g.Server.Pool]
@@ -130,8 +130,8 @@
 			r.Demands = append(r.Demands, p)
 		}
 		u := g.report(now)
-		if s != nil && g.source == grantor {
-			g.shorten(u)
+		if s != nil && g.grantor == grantor {
+			g.useNumber(u)
 		}
 		p.Uses = append(p.Uses, u)
 	}
@@ -144,18 +144,18 @@
 	return r
 }
 
-// trim gives up units of a grantor that are neither used nor wanted any more, so that the grantor can lend them out as
-// soon as it reads the request. It takes those of the newest entries first.
-func (h *Holder) trim(grantor string, pools map[string]*daisyhatchv1.PoolDemand) {
-	for pool, list := range h.order {
+// releaseSpare gives up units of a grantor that are neither in use nor wanted, newest entries first, so that the
+// grantor can grant them to others as soon as it reads the request.
+func (h *Holder) releaseSpare(grantor string, pools map[string]*daisyhatchv1.PoolDemand) {
+	for pool, list := range h.byPool {
 		spare := -int(pools[pool].GetWant())
 		for _, g := range list {
-			if g.source == grantor && !g.Exclusive {
+			if g.grantor == grantor && !g.Exclusive {
 				spare += g.Units
 			}
 		}
 		for _, g := range slices.Backward(list) {
-			if g.source != grantor || g.Exclusive {
+			if g.grantor != grantor || g.Exclusive {
 				continue
 			}
 			n := max(0, min(spare, g.Units-g.InFlight))
@@ -180,7 +180,7 @@
 	if now.Before(g.Until) {
 		u.Units = uint32(g.Units)
 	}
-	g.told = use{tokens: len(g.firstToken), broken: g.broken}
+	g.reported = reportedUse{tokens: len(g.firstToken), broken: g.broken}
 	return u
 }
 
@@ -193,43 +193,43 @@
 	return s[len(s)/2]
 }
 
-// Apply takes over a grantor's response, in which it replaces numbers by what they stand for. One that doesn't answer
-// the latest request to that grantor is dropped, and false is returned.
+// Apply applies a grantor's response. It modifies r: numbers are replaced by what they stand for. It drops a response
+// that doesn't answer the latest request to that grantor and returns false.
 func (h *Holder) Apply(grantor string, r *daisyhatchv1.AcquireResponse, now time.Time) bool {
-	a, ok := h.asked[grantor]
+	a, ok := h.pending[grantor]
 	if !ok || a.sequence != r.Sequence {
 		return false
 	}
-	delete(h.asked, grantor)
+	delete(h.pending, grantor)
 	h.resolve(grantor, r, now)
 	granted := make(map[string]bool, len(r.Grants))
 	for _, g := range r.Grants {
 		granted[g.Server.Server] = true
-		h.take(grantor, g, a.at, now)
+		h.applyGrant(grantor, g, a.at, now)
 	}
 	for name, g := range h.held {
-		if g.source != grantor {
+		if g.grantor != grantor {
 			continue
 		}
-		g.answered()
+		g.clearReported()
 		if !granted[name] && !slices.Contains(r.KeptShards, ShardOf(name)) {
 			g.Units, g.Until = 0, time.Time{}
 		}
-		h.tidy(name, g, now)
+		h.dropIfExpired(name, g, now)
 	}
 	return true
 }
 
-func (h *Holder) take(grantor string, m *daisyhatchv1.Grant, asked, now time.Time) {
+func (h *Holder) applyGrant(grantor string, m *daisyhatchv1.Grant, asked, now time.Time) {
 	g := h.entry(m)
 	if g == nil {
 		return
 	}
 	until := asked.Add(time.Duration(m.TtlMs) * time.Millisecond)
-	if g.source != grantor && until.Before(g.Until) {
+	if g.grantor != grantor && until.Before(g.Until) {
 		return
 	}
-	g.source, g.number = grantor, m.Number
+	g.grantor, g.number = grantor, m.Number
 	g.Units = int(m.Units)
 	g.Cold, g.Exclusive, g.Budget = m.Cold, m.Exclusive, int(m.Budget)
 	g.Until = until
@@ -241,7 +241,7 @@
 	}
 }
 
-// entry returns the entry for a grant's server, with the announcement that the grant is for; nil when the grant
+// entry returns the entry for a grant's server, updated with the grant's announcement. It returns nil when the grant
 // leaves out an announcement that the holder doesn't have.
 func (h *Holder) entry(m *daisyhatchv1.Grant) *Held {
 	g := h.held[m.Server.Server]
@@ -254,11 +254,11 @@
 	if g == nil {
 		g = &Held{}
 		h.held[m.Server.Server] = g
-		h.list(m.Server.Pool, g)
+		h.addToPool(m.Server.Pool, g)
 	}
 	if g.Server != nil && g.Server.Pool != m.Server.Pool {
-		h.unlist(g)
-		h.list(m.Server.Pool, g)
+		h.removeFromPool(g)
+		h.addToPool(m.Server.Pool, g)
 	}
 	if g.Server != nil && g.Server.Incarnation != m.Server.Incarnation {
 		g.completed, g.failed, g.firstToken, g.broken = 0, 0, nil, false
@@ -267,48 +267,49 @@
 	return g
 }
 
-// answered drops what a grantor has received.
-func (g *Held) answered() {
-	g.firstToken = slices.Delete(g.firstToken, 0, min(g.told.tokens, len(g.firstToken)))
-	g.broken = g.broken && !g.told.broken
-	g.told = use{}
+// clearReported removes what the grantor has received by the answered report.
+func (g *Held) clearReported() {
+	g.firstToken = slices.Delete(g.firstToken, 0, min(g.reported.tokens, len(g.firstToken)))
+	g.broken = g.broken && !g.reported.broken
+	g.reported = reportedUse{}
 }
 
-// tidy drops an entry that carries nothing any more.
-func (h *Holder) tidy(name string, g *Held, now time.Time) {
-	if g.InFlight == 0 && !g.broken && !now.Before(g.Until.Add(keepEnded)) {
+// dropIfExpired removes an entry without calls in flight and unreported failure, endedRetention after it expired.
+func (h *Holder) dropIfExpired(name string, g *Held, now time.Time) {
+	if g.InFlight == 0 && !g.broken && !now.Before(g.Until.Add(endedRetention)) {
 		delete(h.held, name)
-		h.unlist(g)
+		h.removeFromPool(g)
 	}
 }
 
-func (h *Holder) list(pool string, g *Held) {
-	h.order[pool] = append(h.order[pool], g)
+func (h *Holder) addToPool(pool string, g *Held) {
+	h.byPool[pool] = append(h.byPool[pool], g)
 }
 
-func (h *Holder) unlist(g *Held) {
+func (h *Holder) removeFromPool(g *Held) {
 	pool := g.Server.Pool
-	l := h.order[pool]
+	l := h.byPool[pool]
 	if i := slices.Index(l, g); i >= 0 {
-		h.order[pool] = slices.Delete(l, i, i+1)
+		h.byPool[pool] = slices.Delete(l, i, i+1)
 	}
-	if len(h.order[pool]) == 0 {
-		delete(h.order, pool)
+	if len(h.byPool[pool]) == 0 {
+		delete(h.byPool, pool)
 	}
 }
 
-// Tick drops entries that have carried nothing for a while.
+// Tick removes entries without calls in flight, endedRetention after they expired, and what was recorded of servers
+// that have no entry any more. It is called periodically.
 func (h *Holder) Tick(now time.Time) {
 	for name, g := range h.held {
-		if g.InFlight == 0 && !now.Before(g.Until.Add(keepEnded)) {
+		if g.InFlight == 0 && !now.Before(g.Until.Add(endedRetention)) {
 			delete(h.held, name)
-			h.unlist(g)
+			h.removeFromPool(g)
 		}
 	}
-	h.words.Retain(func(server string) bool { return h.held[server] != nil }, now)
+	h.notices.Retain(func(server string) bool { return h.held[server] != nil }, now)
 }
 
-// Get returns what is held of a server.
+// Get returns a copy of the entry of a server, and false when there is none.
 func (h *Holder) Get(server string) (Held, bool) {
 	g := h.held[server]
 	if g == nil {
@@ -319,17 +320,17 @@
 
 // Usable calls f for each server of the pool on which one more call may start now, oldest entry first.
 func (h *Holder) Usable(pool string, exclusive bool, now time.Time, f func(*Held)) {
-	for _, g := range h.order[pool] {
+	for _, g := range h.byPool[pool] {
 		if g.Exclusive == exclusive && h.usable(g, now) {
 			f(g)
 		}
 	}
 }
 
-// From calls f for each server of the pool on which one more call may start now, beginning at a place in the list and
-// going round, until f returns false.
+// From calls f for each server of the pool on which one more call may start now, in the order of entries from index
+// start on and wrapping around, until f returns false.
 func (h *Holder) From(pool string, start int, exclusive bool, now time.Time, f func(*Held) bool) {
-	l := h.order[pool]
+	l := h.byPool[pool]
 	for i := range l {
 		g := l[(start+i)%len(l)]
 		if g.Exclusive == exclusive && h.usable(g, now) && !f(g) {
@@ -338,8 +339,8 @@
 	}
 }
 
-// Len returns the count of servers of a pool that are listed.
-func (h *Holder) Len(pool string) int { return len(h.order[pool]) }
+// Len returns the number of entries of a pool, including expired ones.
+func (h *Holder) Len(pool string) int { return len(h.byPool[pool]) }
 
 // Find returns the entry of a server on which one more call may start now; nil when there is none.
 func (h *Holder) Find(server string, exclusive bool, now time.Time) *Held {
@@ -350,9 +351,9 @@
 	return g
 }
 
-// Each calls f for each server of the pool whose grant lasts, oldest entry first.
+// Each calls f for each server of the pool with a valid grant and that accepts calls, oldest entry first.
 func (h *Holder) Each(pool string, now time.Time, f func(*Held)) {
-	for _, g := range h.order[pool] {
+	for _, g := range h.byPool[pool] {
 		if g.Units > 0 && now.Before(g.Until) && h.accepts(g, now) {
 			f(g)
 		}
@@ -363,17 +364,17 @@
 	return g.InFlight < g.Units && now.Before(g.Until) && h.accepts(g, now)
 }
 
-// accepts reports whether a server takes calls, as far as its answers say.
+// accepts reports whether a server accepts calls, as far as recorded by Noticed.
 func (h *Holder) accepts(g *Held, now time.Time) bool {
-	return h.words.Available(g.Server.Server, g.Server.Incarnation, now)
+	return h.notices.Available(g.Server.Server, g.Server.Incarnation, now)
 }
 
-// Noticed takes over what an incarnation of a server said in an answer, and reports whether that is news.
+// Noticed records a notice that an incarnation of a server gave in an answer, and reports whether it changes anything.
 func (h *Holder) Noticed(server, incarnation string, n holdoff.Notice, now time.Time) bool {
-	return h.words.Record(server, incarnation, n, now)
+	return h.notices.Record(server, incarnation, n, now)
 }
 
-// Start notes that a call starts on a server. It returns false when no unit is left.
+// Start takes a unit for a call on a server. It returns false when no call may start there.
 func (h *Holder) Start(server string, now time.Time) bool {
 	g := h.held[server]
 	if g == nil || !h.usable(g, now) {
@@ -383,24 +384,26 @@
 	return h.check.Assert(g.InFlight <= g.Units, "grant-use", "server %s: %d in flight of %d", server, g.InFlight, g.Units)
 }
 
-// Valid reports whether a call that was started may still be sent.
+// Valid reports whether a call that was started may still be sent to the incarnation: the grant may have expired or
+// been withdrawn since, and the server may have restarted or asked for no calls.
 func (h *Holder) Valid(server, incarnation string, now time.Time) bool {
 	g := h.held[server]
 	return g != nil && g.Server.Incarnation == incarnation && g.Units > 0 && now.Before(g.Until) && h.accepts(g, now)
 }
 
-// Outcome tells how a call ended.
+// Outcome is the result of a call. A call that is neither OK nor Neutral counts as failed.
 type Outcome struct {
 	OK bool
 	// FirstToken is the time to the first token; 0 when there was none.
 	FirstToken time.Duration
 	// Broken means that the server refused the connection or died.
 	Broken bool
-	// Neutral calls count neither as good nor as bad.
+	// Neutral calls count neither as completed nor as failed.
 	Neutral bool
 }
 
-// Done notes that a call ended. A server that broke is not used again until it is granted anew.
+// Done records that a call ended and frees its unit. A server with a Broken outcome gets no calls until it is granted
+// again. The outcome of a call on an earlier incarnation is ignored.
 func (h *Holder) Done(server, incarnation string, o Outcome, now time.Time) {
 	g := h.held[server]
 	if g == nil || !h.check.Assert(g.InFlight > 0, "grant-done", "server %s: no call in flight", server) {
@@ -417,7 +420,7 @@
 	default:
 		g.failed++
 	}
-	if o.FirstToken > 0 && len(g.firstToken) < keptFirstTokens {
+	if o.FirstToken > 0 && len(g.firstToken) < maxFirstTokens {
 		g.firstToken = append(g.firstToken, o.FirstToken)
 	}
 	if o.Broken {
@@ -426,10 +429,10 @@
 	}
 }
 
-// Release returns a request that gives back everything that is held of a grantor.
+// Release gives up all units of a grantor and returns the request that tells it so.
 func (h *Holder) Release(grantor string, owns func(shard uint32) bool, now time.Time) *daisyhatchv1.AcquireRequest {
 	for name, g := range h.held {
-		if g.source == grantor || owns(ShardOf(name)) {
+		if g.grantor == grantor || owns(ShardOf(name)) {
 			g.Units, g.Until = 0, time.Time{}
 		}
 	}
--- a/pkg/grant/listed.go
+++ b/pkg/grant/listed.go
@@ -1,8 +1,9 @@
 package grant
 
-// Listed calls f for each server of the pool whose grant lasts or ended not long ago, oldest entry first.
+// Listed calls f for each entry of the pool, oldest first: those with a valid grant or a call in flight, and those
+// whose grant expired less than about endedRetention ago.
 func (h *Holder) Listed(pool string, f func(*Held)) {
-	for _, g := range h.order[pool] {
+	for _, g := range h.byPool[pool] {
 		f(g)
 	}
 }
--- a/pkg/grant/numbers.go
+++ b/pkg/grant/numbers.go
@@ -9,23 +9,23 @@
 )
 
 // ErrUnknownNumber means that a request refers to a session or a number that the grantor doesn't know. The holder is to
-// ask again without a session.
+// call Forget and send its next request without a session.
 var ErrUnknownNumber = errors.New("grant: unknown session or number")
 
-// keptNumbers is how many announcements of one server have numbers at a time.
-const keptNumbers = 4
+// maxNumbersPerServer is how many announcements of one server, the latest ones, have valid numbers at a time.
+const maxNumbersPerServer = 4
 
-// numbers are what a grantor uses in place of names in its messages. Those of an earlier process are never valid, since
-// sessions are random.
+// numbers maps the numbers that a grantor uses in place of names in its messages to what they stand for. Numbers of an
+// earlier process are never taken for those of this one, since session IDs are random.
 type numbers struct {
 	last          uint32
 	sessions      map[uint64]*holder
-	announcements map[uint32]numbered
+	announcements map[uint32]numberedAnnouncement
 	pools         map[uint32]string
 }
 
-// numbered is an announcement that a number stands for.
-type numbered struct {
+// numberedAnnouncement is the part of an announcement that a number stands for.
+type numberedAnnouncement struct {
 	server      *server
 	pool        string
 	incarnation string
@@ -35,12 +35,12 @@
 func newNumbers() *numbers {
 	return &numbers{
 		sessions:      make(map[uint64]*holder),
-		announcements: make(map[uint32]numbered),
+		announcements: make(map[uint32]numberedAnnouncement),
 		pools:         make(map[uint32]string),
 	}
 }
 
-// open returns the holder's session, 0 never.
+// open returns the holder's session ID, and creates it if there is none. It is never 0.
 func (n *numbers) open(h *holder, rng *rand.Rand) uint64 {
 	for h.session == 0 {
 		id := rng.Uint64()
@@ -55,25 +55,25 @@
 // close ends the holder's session.
 func (n *numbers) close(h *holder) { delete(n.sessions, h.session) }
 
-// addPool gives a pool a number.
+// addPool assigns a number to a pool.
 func (n *numbers) addPool(name string) uint32 {
 	n.last++
 	n.pools[n.last] = name
 	return n.last
 }
 
-// add gives the server's present announcement a number.
+// add assigns a number to the server's current announcement; the oldest number may become invalid.
 func (n *numbers) add(s *server) {
 	n.last++
-	n.announcements[n.last] = numbered{server: s, pool: s.ann.Pool, incarnation: s.ann.Incarnation, revision: s.revision}
+	n.announcements[n.last] = numberedAnnouncement{server: s, pool: s.ann.Pool, incarnation: s.ann.Incarnation, revision: s.revision}
 	s.numbers = append(s.numbers, n.last)
-	if len(s.numbers) > keptNumbers {
+	if len(s.numbers) > maxNumbersPerServer {
 		delete(n.announcements, s.numbers[0])
 		s.numbers = s.numbers[1:]
 	}
 }
 
-// drop forgets all numbers of a server.
+// drop removes all numbers of a server.
 func (n *numbers) drop(s *server) {
 	for _, k := range s.numbers {
 		delete(n.announcements, k)
@@ -81,13 +81,14 @@
 	s.numbers = nil
 }
 
-// renumber makes holders name the server in full once, with what they remember of its warm-up.
+// renumber replaces all numbers of a server by a new one, so that the next request of each holder is refused and the
+// one after it names the server and carries its warm-up progress.
 func (n *numbers) renumber(s *server) {
 	n.drop(s)
 	n.add(s)
 }
 
-// resolve fills in what the numbers of a request stand for. It returns ErrUnknownNumber for one that is unknown.
+// resolve replaces the numbers of a request by what they stand for. It returns ErrUnknownNumber for an unknown one.
 func (n *numbers) resolve(r *daisyhatchv1.AcquireRequest) error {
 	if r.Session != 0 && n.sessions[r.Session] == nil {
 		return fmt.Errorf("%w: session", ErrUnknownNumber)
@@ -100,7 +101,7 @@
 	return n.unpackDemands(r)
 }
 
-// unpackDemands makes demands of the lists of a request.
+// unpackDemands turns the compact lists of a request back into demands.
 func (n *numbers) unpackDemands(r *daisyhatchv1.AcquireRequest) error {
 	if len(r.Wants) != len(r.Pools) {
 		return fmt.Errorf("%w: %d wants of %d pools", ErrUnknownNumber, len(r.Wants), len(r.Pools))
@@ -158,19 +159,21 @@
 	return nil
 }
 
-// number stands for the server's present announcement.
+// number returns the number of the server's current announcement.
 func (s *server) number() uint32 { return s.numbers[len(s.numbers)-1] }
 
-// hasLoad notes that the answer to r tells the holder of the report l, and reports whether the holder has it already.
-func (c *charge) hasLoad(l *daisyhatchv1.Load, r *daisyhatchv1.AcquireRequest) bool {
+// recordLoad records that the answer to r is to give the holder the report l, and reports whether the holder has it
+// already: it has applied an answer that contained l.
+func (c *charge) recordLoad(l *daisyhatchv1.Load, r *daisyhatchv1.AcquireRequest) bool {
 	if c.loadAt == 0 || c.load != l {
 		c.load, c.loadAt = l, r.Sequence
 	}
 	return c.loadAt <= r.Applied
 }
 
-// hasWarmth notes that the answer to r tells the holder w, and reports whether the holder has it already.
-func (c *charge) hasWarmth(w warmth, r *daisyhatchv1.AcquireRequest) bool {
+// recordWarmth records that the answer to r is to give the holder the progress w, and reports whether the holder has it
+// already: it has applied an answer that contained w.
+func (c *charge) recordWarmth(w warmth, r *daisyhatchv1.AcquireRequest) bool {
 	if c.warmthAt == 0 || c.warmth != w {
 		c.warmth, c.warmthAt = w, r.Sequence
 	}
--- a/pkg/grant/numbers_test.go
+++ b/pkg/grant/numbers_test.go
@@ -10,10 +10,10 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// exchange lets h ask b's grantor and returns the request as sent and the answer as received.
-func exchange(b *bench, h *Holder, want int) (*daisyhatchv1.AcquireRequest, *daisyhatchv1.AcquireResponse) {
+// exchange sends a request of h to b's grantor, applies the answer, and returns copies of both as sent.
+func exchange(b *fixture, h *Holder, want int) (*daisyhatchv1.AcquireRequest, *daisyhatchv1.AcquireResponse) {
 	b.Helper()
-	r := h.Ask("g", all, []Demand{{Pool: poolName, Units: want}}, b.now)
+	r := h.Ask("g", anyShard, []Demand{{Pool: poolName, Units: want}}, b.now)
 	sent := clone(r)
 	out, err := b.Acquire(r, b.now)
 	require.NoError(b, err)
@@ -24,11 +24,11 @@
 
 func clone[T proto.Message](m T) T { return proto.Clone(m).(T) }
 
-func TestNumbersStandForNamesOnceBothSidesKnowThem(t *testing.T) {
-	b := newBench(t)
+func TestNumbersReplaceNamesOnceKnown(t *testing.T) {
+	b := newFixture(t)
 	h := b.holder("x")
 	b.warm(h)
-	b.Announce(serverA(&daisyhatchv1.Load{}), b.now)
+	b.Announce(announcementOfS1(&daisyhatchv1.Load{}), b.now)
 	exchange(b, h, 4)
 	r, out := exchange(b, h, 4)
 	require.Empty(t, r.Vm)
@@ -43,22 +43,23 @@
 	require.Equal(t, b.now.Add(TTL), held.Until)
 }
 
-// The grantor can't tell what a request of another process's session holds, so it must not take it for less.
-func TestUnknownNumbersChangeNothing(t *testing.T) {
-	for name, lose := range map[string]func(b *bench){
-		"session":      func(b *bench) { clear(b.numbers.sessions) },
-		"announcement": func(b *bench) { b.numbers.renumber(b.servers["s1"]) },
-		"pool":         func(b *bench) { clear(b.numbers.pools) },
+// The grantor can't tell which units a request with unknown numbers reports, so it has to refuse the request and keep
+// the units charged.
+func TestRequestWithUnknownNumbersChangesNothing(t *testing.T) {
+	for name, lose := range map[string]func(b *fixture){
+		"session":      func(b *fixture) { clear(b.numbers.sessions) },
+		"announcement": func(b *fixture) { b.numbers.renumber(b.servers["s1"]) },
+		"pool":         func(b *fixture) { clear(b.numbers.pools) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			h := b.holder("x")
 			b.warm(h)
 			exchange(b, h, 4)
 			exchange(b, h, 4)
 			require.Equal(t, 4, b.servers["s1"].charged)
 			lose(b)
-			_, err := b.Acquire(h.Ask("g", all, []Demand{{Pool: poolName, Units: 4}}, b.now), b.now)
+			_, err := b.Acquire(h.Ask("g", anyShard, []Demand{{Pool: poolName, Units: 4}}, b.now), b.now)
 			require.ErrorIs(t, err, ErrUnknownNumber)
 			require.Equal(t, 4, b.servers["s1"].charged)
 			h.Forget("g")
@@ -70,18 +71,19 @@
 	}
 }
 
-// What a holder remembers of a server's warm-up must reach a successor, although answers repeat it only when it changes.
-func TestWarmUpIsToldUntilAnAnswerWithItWasApplied(t *testing.T) {
-	b := newBench(t)
+// Holders pass a server's warm-up progress on to a successor, so an answer has to contain it until the holder has
+// applied one that does.
+func TestWarmthIsSentUntilApplied(t *testing.T) {
+	b := newFixture(t)
 	h := b.holder("x")
 	b.warm(h)
-	b.Announce(serverA(&daisyhatchv1.Load{}), b.now)
+	b.Announce(announcementOfS1(&daisyhatchv1.Load{}), b.now)
 	exchange(b, h, 4)
 	exchange(b, h, 4)
 	_, out := exchange(b, h, 4)
 	require.Nil(t, out.Grants[0].Warmth)
 	b.servers["s1"].warmth.turnCold()
-	_, err := b.Acquire(h.Ask("g", all, []Demand{{Pool: poolName, Units: 4}}, b.now), b.now)
+	_, err := b.Acquire(h.Ask("g", anyShard, []Demand{{Pool: poolName, Units: 4}}, b.now), b.now)
 	require.NoError(t, err) // the answer is lost
 	_, out = exchange(b, h, 4)
 	require.NotNil(t, out.Grants[0].Warmth)
@@ -91,17 +93,17 @@
 	require.Equal(t, uint32(1), held.warmth.GetColdCount())
 }
 
-func TestALostAnnouncementIsNoLoss(t *testing.T) {
+func TestAnnounceTTLCoversLostAnnouncement(t *testing.T) {
 	require.Equal(t, AnnounceEvery, AnnounceInterval(60))
 	require.Less(t, 2*AnnounceInterval(2800), AnnounceTTL)
 }
 
-// A report that the holder has is not sent again, and keeps its time.
-func TestLoadReportIsToldOnce(t *testing.T) {
-	b := newBench(t)
+// A load report that the holder already has is not sent again, and its time of measurement does not change.
+func TestLoadReportIsSentOnce(t *testing.T) {
+	b := newFixture(t)
 	h := b.holder("x")
 	b.warm(h)
-	b.Announce(serverA(&daisyhatchv1.Load{Running: 3, AgeMs: 100}), b.now)
+	b.Announce(announcementOfS1(&daisyhatchv1.Load{Running: 3, AgeMs: 100}), b.now)
 	at := b.now.Add(-100 * time.Millisecond)
 	exchange(b, h, 4)
 	exchange(b, h, 4)
@@ -111,10 +113,10 @@
 	held, _ := h.Get("s1")
 	require.EqualValues(t, 3, held.Load.Running)
 	require.Equal(t, at, held.LoadAt)
-	b.Announce(serverA(&daisyhatchv1.Load{Running: 5}), b.now)
+	b.Announce(announcementOfS1(&daisyhatchv1.Load{Running: 5}), b.now)
 	_, out = exchange(b, h, 4)
 	require.EqualValues(t, 5, out.Grants[0].Load.Running)
-	b.Announce(serverA(nil), b.now)
+	b.Announce(announcementOfS1(nil), b.now)
 	exchange(b, h, 4)
 	held, _ = h.Get("s1")
 	require.Nil(t, held.Load)
--- a/pkg/grant/server.go
+++ b/pkg/grant/server.go
@@ -10,66 +10,70 @@
 	"github.com/daisyhatch/daisyhatch/pkg/config"
 )
 
-// server is what the grantor knows of one backend server.
+// server is the grantor's state of one backend server.
 type server struct {
 	name  string
 	shard uint32
 	ann   *daisyhatchv1.Announcement
-	// static is the announcement without its load, named has the name only, and revision is a hash of static.
+	// static is the announcement without its load and leaving state, named has only the name, and revision is a hash of
+	// static.
 	static   *daisyhatchv1.Announcement
 	named    *daisyhatchv1.Announcement
 	revision uint32
-	// numbers stand for the announcements of late, the present one last.
+	// numbers are those of the latest announcements, the current one last; see numbers.add.
 	numbers []uint32
 	// heard is when the last announcement arrived.
 	heard  time.Time
 	warmth warmth
-	// out is true while the server's failure domain is out of service.
-	out bool
-	// leaving is true once the present incarnation has said so.
+	// domainOut is true while the server's failure domain is out of service.
+	domainOut bool
+	// leaving is true once the current incarnation has announced that it is shutting down.
 	leaving bool
-	// doubtUntil is until when the server counts as cold since a holder saw it die.
-	doubtUntil time.Time
-	// charges are the units that each holder has or may have in flight.
+	// coldUntil is the end of the period in which the server counts as cold since a holder saw it fail.
+	coldUntil time.Time
+	// charges are the units that each holder has or may have; charged is their sum.
 	charges []charge
 	charged int
-	// reported is the sum of in-flight calls that holders reported.
+	// reported is the sum of the in-flight calls in the holders' last reports.
 	reported int
-	// leftover bounds the calls of a former grantor's time that may still run. It only falls: no new ones start.
-	leftover int
-	// alone is the holder for which the server is reserved; nil when it is not.
-	alone      *holder
-	aloneUntil time.Time
+	// formerCalls is the most calls started under a former grantor that may still run. It only decreases, since no new
+	// ones start.
+	formerCalls int
+	// reservedFor is the holder that the server is reserved for, until reservedUntil; nil for none.
+	reservedFor   *holder
+	reservedUntil time.Time
 }
 
-// charge is what one holder may have in flight on a server.
+// charge is the number of units that one holder has of a server, with what the grantor knows of that holder.
 type charge struct {
 	holder   *holder
 	units    int
 	inFlight int
-	// told is true when the holder's last request mentioned the server.
-	told      bool
+	// mentioned is true when the holder's last request reported on the server.
+	mentioned bool
 	exclusive bool
-	// incarnation and completed are the holder's count of good calls that was taken into account.
+	// completed is the holder's last total of successful calls on that incarnation.
 	incarnation string
 	completed   int
-	// floor is the least that counts as charged until floorUntil.
-	floor      int
-	floorUntil time.Time
-	// revision is that of the announcement that the holder has, number what it calls it; 0 when it named the server.
+	// minUnits is the least number of units that counts as charged until minUnitsUntil, after a hand-over.
+	minUnits      int
+	minUnitsUntil time.Time
+	// revision and number are those of the announcement that the holder has; number is 0 when the holder's last report
+	// gave the server's name.
 	revision uint32
 	number   uint32
-	// avoidUntil is until when the holder gets no units, since it saw the server fail.
+	// avoidUntil is the end of the period in which the holder gets no units, after it saw the server fail.
 	avoidUntil time.Time
-	// warmth is what the holder was told last, first in the answer with the sequence warmthAt; 0 for never.
+	// warmth is the value that the holder was sent last, first in the answer with the sequence warmthAt; 0 for never.
 	warmth   warmth
 	warmthAt uint64
-	// load is the report that the holder was told last, first in the answer with the sequence loadAt; 0 for never.
+	// load is the report that the holder was sent last, first in the answer with the sequence loadAt; 0 for never.
 	load   *daisyhatchv1.Load
 	loadAt uint64
 }
 
-// warmth tracks a server's warm-up.
+// warmth is a server's warm-up progress: how often it turned cold, and the calls completed since then, counted up to
+// twice the pool's WarmAfter.
 type warmth struct {
 	coldCount   int
 	completions int
@@ -80,7 +84,7 @@
 	w.completions = 0
 }
 
-// merge takes over the progress that a holder remembers of a former grantor, if it is newer.
+// merge adopts the progress that a holder got from a former grantor, if it is newer.
 func (w *warmth) merge(m *daisyhatchv1.Warmth) {
 	if m == nil {
 		return
@@ -95,8 +99,8 @@
 	return &daisyhatchv1.Warmth{ColdCount: uint32(w.coldCount), Completions: uint32(w.completions)}
 }
 
-// charge returns the entry of h, and adds an empty one when there is none.
-func (s *server) charge(h *holder) *charge {
+// chargeOf returns the charge of h, and adds an empty one when there is none.
+func (s *server) chargeOf(h *holder) *charge {
 	for i := range s.charges {
 		if s.charges[i].holder == h {
 			return &s.charges[i]
@@ -106,8 +110,8 @@
 	return &s.charges[len(s.charges)-1]
 }
 
-// announce takes over an announcement's text.
-func (s *server) announce(a *daisyhatchv1.Announcement) {
+// setAnnouncement replaces the announcement and what is derived from it.
+func (s *server) setAnnouncement(a *daisyhatchv1.Announcement) {
 	s.ann = a
 	s.static = &daisyhatchv1.Announcement{
 		Server: a.Server, Incarnation: a.Incarnation, Pool: a.Pool, FailureDomain: a.FailureDomain, Address: a.Address,
@@ -118,7 +122,7 @@
 	s.revision = revisionOf(s.static)
 }
 
-// revisionOf hashes an announcement; it is never 0.
+// revisionOf returns a hash of an announcement; it is never 0.
 func revisionOf(a *daisyhatchv1.Announcement) uint32 {
 	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(a)
 	if err != nil {
@@ -127,20 +131,20 @@
 	return uint32(xxhash.Sum64(text)) | 1
 }
 
-// set replaces the units charged to c.
-func (s *server) set(c *charge, units, inFlight int) {
+// setUnits replaces the units and in-flight calls of c and updates the server's sums.
+func (s *server) setUnits(c *charge, units, inFlight int) {
 	s.charged += units - c.units
 	s.reported += inFlight - c.inFlight
 	c.units, c.inFlight = units, inFlight
 }
 
-// forget drops the entry of h.
-func (s *server) forget(h *holder) {
+// removeCharge removes the charge of h.
+func (s *server) removeCharge(h *holder) {
 	for i := range s.charges {
 		if s.charges[i].holder != h {
 			continue
 		}
-		s.set(&s.charges[i], 0, 0)
+		s.setUnits(&s.charges[i], 0, 0)
 		last := len(s.charges) - 1
 		s.charges[i] = s.charges[last]
 		s.charges[last] = charge{}
@@ -149,15 +153,17 @@
 	}
 }
 
-// cold reports whether the server has yet to earn its full budget.
+// cold reports whether the server is limited to its cold concurrency: it has completed fewer than WarmAfter calls, or a
+// holder saw it fail less than crashColdPeriod ago.
 func (s *server) cold(p *config.Pool, now time.Time) bool {
-	return s.warmth.completions < p.WarmAfter || now.Before(s.doubtUntil)
+	return s.warmth.completions < p.WarmAfter || now.Before(s.coldUntil)
 }
 
 // budget returns how many calls the server may run at once: 0 when it must get no work, the cold concurrency until
-// enough calls have completed, and then a ramp to the warm one over as many completions again.
+// WarmAfter calls have completed, and then a linear ramp to the full concurrency over another WarmAfter calls. It never
+// exceeds the capacity that the server reports.
 func (s *server) budget(p *config.Pool, now time.Time) int {
-	if p == nil || s.out || s.ann == nil || s.leaving || now.Sub(s.heard) > AnnounceTTL {
+	if p == nil || s.domainOut || s.ann == nil || s.leaving || now.Sub(s.heard) > AnnounceTTL {
 		return 0
 	}
 	warm := max(p.Concurrency, 1)
@@ -176,9 +182,9 @@
 	return b
 }
 
-// observe takes over what a holder reports of its calls since its last report. What the holder remembers of the
-// warm-up counts in the quiet period only: later this grantor knows better.
-func (s *server) observe(p *config.Pool, c *charge, u *daisyhatchv1.GrantUse, quiet bool, now time.Time) {
+// observe updates the warm-up progress from a holder's report of its calls. The progress that the holder got from a
+// former grantor counts only in the quiet period; after that this grantor's own value is newer.
+func (s *server) applyUse(p *config.Pool, c *charge, u *daisyhatchv1.GrantUse, quiet bool, now time.Time) {
 	if s.ann == nil || u.Incarnation != s.ann.Incarnation {
 		return
 	}
@@ -192,13 +198,13 @@
 		s.warmth.merge(u.Warmth)
 	}
 	if u.Broken {
-		s.doubtUntil = now.Add(doubtPeriod)
+		s.coldUntil = now.Add(crashColdPeriod)
 		return
 	}
 	s.warmth.completions = min(s.warmth.completions+c.newlyCompleted(u), 2*p.WarmAfter)
 }
 
-// completedOf returns the good calls counted for an incarnation.
+// completedOf returns the successful calls counted for an incarnation.
 func (c *charge) completedOf(incarnation string) int {
 	if c.incarnation != incarnation {
 		return 0
@@ -206,8 +212,8 @@
 	return c.completed
 }
 
-// newlyCompleted returns how many good calls the holder reports for the first time. The holder's counts are totals, so
-// that a report that arrives twice counts once.
+// newlyCompleted returns how many successful calls the holder reports for the first time. The holder's counts are
+// totals, so that a report that arrives twice counts once.
 func (c *charge) newlyCompleted(u *daisyhatchv1.GrantUse) int {
 	total := int(u.Completed)
 	n := total - c.completed
@@ -218,18 +224,18 @@
 	return max(n, 0)
 }
 
-// aloneFor returns the holder that the server is reserved for; nil when it is not.
-func (s *server) aloneFor(now time.Time) *holder {
-	if s.alone == nil || !now.Before(s.aloneUntil) {
+// reservation returns the holder that the server is reserved for; nil for none.
+func (s *server) reservation(now time.Time) *holder {
+	if s.reservedFor == nil || !now.Before(s.reservedUntil) {
 		return nil
 	}
-	return s.alone
+	return s.reservedFor
 }
 
-// state names the server's state for operators.
+// state returns the server's state as shown to operators.
 func (s *server) state(p *config.Pool, now time.Time) string {
 	switch {
-	case s.out:
+	case s.domainOut:
 		return "taken_out"
 	case s.leaving:
 		return "leaving"
--- a/pkg/grant/session.go
+++ b/pkg/grant/session.go
@@ -9,21 +9,22 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// session is what a holder and one grantor know of each other, so that messages carry numbers in place of names. A nil
-// session knows nothing.
+// session is a holder's state of its session with one grantor, in which messages carry numbers in place of names. With
+// a nil session, messages carry names.
 type session struct {
 	id uint64
 	// applied is the sequence of the newest answer that was applied.
 	applied uint64
-	// numbers are of pools by name, and names the other way round.
+	// numbers maps the names of pools to their numbers, and names the numbers to the names.
 	numbers map[string]uint32
 	names   map[uint32]string
 }
 
-// Forget ends the session with a grantor. Call it when a request was refused with ErrUnknownNumber.
+// Forget ends the session with a grantor, so that the next request carries names. It is to be called when the grantor
+// refused a request with ErrUnknownNumber.
 func (h *Holder) Forget(grantor string) { delete(h.sessions, grantor) }
 
-// identify tells the grantor who asks.
+// identify sets the sender of a request: the session, or the holder's identity without one.
 func (h *Holder) identify(r *daisyhatchv1.AcquireRequest, s *session) {
 	if s != nil {
 		r.Session, r.Applied = s.id, s.applied
@@ -32,7 +33,7 @@
 	r.Vm, r.Incarnation, r.FailureDomain = h.id.VM, h.id.Incarnation, h.id.FailureDomain
 }
 
-// demand returns an empty demand for a pool.
+// demand returns an empty demand for a pool, given by number if the session has one.
 func (s *session) demand(pool string) *daisyhatchv1.PoolDemand {
 	if s != nil && s.numbers[pool] != 0 {
 		return &daisyhatchv1.PoolDemand{PoolNumber: s.numbers[pool]}
@@ -40,8 +41,8 @@
 	return &daisyhatchv1.PoolDemand{Pool: pool}
 }
 
-// shorten leaves out what the number stands for in a report to the grant's source.
-func (g *Held) shorten(u *daisyhatchv1.GrantUse) {
+// useNumber replaces, in a report to the grantor of g, the fields that the announcement's number stands for.
+func (g *Held) useNumber(u *daisyhatchv1.GrantUse) {
 	if g.number == 0 {
 		return
 	}
@@ -49,7 +50,7 @@
 	u.Server, u.Incarnation, u.Revision, u.Warmth = "", "", 0, nil
 }
 
-// packDemands moves demands that have nothing but numbers into lists.
+// packDemands moves demands that consist of numbers only into the compact lists of the request.
 func packDemands(r *daisyhatchv1.AcquireRequest) {
 	var kept []*daisyhatchv1.PoolDemand
 	for _, d := range r.Demands {
@@ -65,7 +66,7 @@
 	r.Demands = kept
 }
 
-// unpackSupplies makes supplies of the lists of an answer.
+// unpackSupplies turns the compact lists of an answer back into supplies. Lists of unequal length are ignored.
 func (s *session) unpackSupplies(r *daisyhatchv1.AcquireResponse) {
 	if len(r.Budgets) != len(r.Pools) || len(r.PoolDemands) != len(r.Pools) {
 		return
@@ -76,7 +77,7 @@
 	r.Pools, r.Budgets, r.PoolDemands = nil, nil, nil
 }
 
-// resolve takes over the session of a response and fills in what its numbers stand for.
+// resolve adopts the session of a response and replaces its numbers by what they stand for.
 func (h *Holder) resolve(grantor string, r *daisyhatchv1.AcquireResponse, now time.Time) {
 	if r.Session != 0 {
 		h.open(grantor, r.Session)
@@ -84,13 +85,13 @@
 	if s := h.sessions[grantor]; s != nil {
 		s.applied = r.Sequence
 		for _, m := range r.Supplies {
-			s.learn(m)
+			s.addPool(m)
 		}
 		s.unpackSupplies(r)
 	}
 	held := make(map[uint32]*Held, len(r.Grants))
 	for _, g := range h.held {
-		if g.source == grantor && g.number != 0 {
+		if g.grantor == grantor && g.number != 0 {
 			held[g.number] = g
 		}
 	}
@@ -99,28 +100,28 @@
 	}
 }
 
-// open begins a session. Numbers of an earlier one are not valid in it.
+// open starts a session, unless it is the current one. Numbers of an earlier session become invalid.
 func (h *Holder) open(grantor string, id uint64) {
 	if s := h.sessions[grantor]; s != nil && s.id == id {
 		return
 	}
 	h.sessions[grantor] = &session{id: id, numbers: make(map[string]uint32), names: make(map[uint32]string)}
 	for _, g := range h.held {
-		if g.source == grantor {
+		if g.grantor == grantor {
 			g.number = 0
 		}
 	}
 }
 
-// learn notes the number of a pool.
-func (s *session) learn(m *daisyhatchv1.PoolSupply) {
+// addPool records the number of a pool.
+func (s *session) addPool(m *daisyhatchv1.PoolSupply) {
 	if m.PoolNumber != 0 {
 		s.numbers[m.Pool], s.names[m.PoolNumber] = m.PoolNumber, m.Pool
 	}
 }
 
-// resolveGrant fills in the server, the lifetime and the last load report of a grant. One for an announcement that the holder doesn't have any
-// more gets an empty server.
+// resolveGrant fills in the server, the lifetime and the last load report of a grant m from the holder's entry g. With
+// a nil g, because the holder has dropped the announcement, m gets an empty server.
 func resolveGrant(m *daisyhatchv1.Grant, g *Held, ttlMs int64, now time.Time) {
 	if m.TtlMs == 0 {
 		m.TtlMs = ttlMs
--- a/pkg/grant/shard.go
+++ b/pkg/grant/shard.go
@@ -1,6 +1,7 @@
-// Package grant bounds the work on each backend server. A Grantor keeps one concurrency budget for each server and
-// lends units of it to holders for a short time; a Holder uses units while they last. Both are pure: time comes in
-// as an argument and must be monotonic.
+// Package grant limits the concurrent calls on each backend server. A Grantor has a concurrency budget for each server
+// and grants units of it, one for each concurrent call, to holders for a short time; a Holder is the side of an entry
+// VM that starts calls under its grants. Neither does I/O or reads a clock: the time is an argument and must be
+// monotonic.
 package grant
 
 import (
@@ -10,34 +11,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shards is the count of shards that backend servers hash into. Each shard has one grantor.
+// Shards is the number of shards that backend servers hash into. Each shard has at most one grantor at a time.
 const Shards = 64
 
-// Times of leases and grants.
+// Lifetimes and intervals of leases, grants and announcements.
 const (
-	// LeaseTTL is how long a grantor may grant, counted from when it asked for the lease.
+	// LeaseTTL is how long a lease lasts for its holder, counted from when the holder sent the request for it.
 	LeaseTTL = 1500 * time.Millisecond
-	// TTL is how long a holder may start work under a grant, counted from when it asked.
+	// TTL is how long a holder may start calls under a grant, counted from when it sent the request for it.
 	TTL = 1500 * time.Millisecond
 	// Renew is the interval between the requests of one holder, and between renewals of a lease.
 	Renew = 500 * time.Millisecond
-	// RenewContended is the interval while holders want more of a pool than there is, so that units change hands soon.
+	// RenewContended is the interval between a holder's requests while the demand for a pool exceeds its budget, so
+	// that units pass between holders sooner.
 	RenewContended = 250 * time.Millisecond
 	// QuietPeriod is how long a new grantor waits before its first grant: the lifetime of the last grant that the
-	// former one can have made. The lease itself changes hands only once it is over for its former holder.
+	// former grantor can have made. The lease passes to another VM only once it has ended for its former holder.
 	QuietPeriod = TTL
-	// AnnounceEvery is how often a backend server announces itself when there are few.
+	// AnnounceEvery is the interval between announcements of a backend server when there are fewer than
+	// slowAnnounceThreshold.
 	AnnounceEvery = time.Second
-	// AnnounceTTL is how long an announcement counts.
+	// AnnounceTTL is how long a server may get work after its last announcement.
 	AnnounceTTL = 5 * time.Second
 )
 
-// manyServers is the count of servers from which each announces itself half as often.
-const manyServers = 1000
+// slowAnnounceThreshold is the number of servers from which each announces itself half as often.
+const slowAnnounceThreshold = 1000
 
-// AnnounceInterval returns how often each of so many backend servers is to announce itself.
+// AnnounceInterval returns the interval between announcements of a backend server when there are that many servers.
 func AnnounceInterval(servers int) time.Duration {
-	if servers >= manyServers {
+	if servers >= slowAnnounceThreshold {
 		return 2 * AnnounceEvery
 	}
 	return AnnounceEvery
--- a/pkg/grant/fuzz_actions_test.go
+++ b/pkg/grant/simulation_actions_test.go
@@ -12,12 +12,12 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// TestServersNeverGetMoreThanTheirBudget runs Grantors and Holders through random faults and checks each call that
-// reaches a server against what runs there.
+// TestServersNeverGetMoreThanTheirBudget runs Grantors and Holders through random faults (lost, late and duplicate
+// messages, pauses, restarts, hand-overs) and checks, for each call that reaches a server, the calls that run there.
 func TestServersNeverGetMoreThanTheirBudget(t *testing.T) {
 	started, elapsed := 0, time.Duration(0)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		for _, h := range w.holders {
 			h.want = 4
 		}
@@ -28,10 +28,10 @@
 		elapsed += w.now.Sub(time.Unix(1000, 0))
 	})
 	t.Logf("%d calls reached servers, %v of virtual time", started, elapsed)
-	require.Greater(t, started, 1000, "the run did too little to prove anything")
+	require.Greater(t, started, 1000, "too few calls reached servers for a meaningful check")
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *simulation) actions() map[string]func(*rapid.T) {
 	pick := func(t *rapid.T, n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") }
 	ms := func(t *rapid.T, most int) time.Duration {
 		return time.Duration(rapid.IntRange(0, most).Draw(t, "ms")) * time.Millisecond
@@ -44,49 +44,49 @@
 	return map[string]func(*rapid.T){
 		"run 1": run, "run 2": run, "run 3": run, "run 4": run, "run 5": run, "run 6": run,
 		"cut holder": func(t *rapid.T) {
-			w.holders[pick(t, worldHolders)].cutUntil = w.now.Add(ms(t, 10000))
+			w.holders[pick(t, simHolders)].cutUntil = w.now.Add(ms(t, 10000))
 		},
 		"pause holder": func(t *rapid.T) {
-			w.holders[pick(t, worldHolders)].pausedUntil = w.now.Add(ms(t, 5000))
+			w.holders[pick(t, simHolders)].pausedUntil = w.now.Add(ms(t, 5000))
 		},
 		"kill holder": func(t *rapid.T) {
-			h := w.holders[pick(t, worldHolders)]
+			h := w.holders[pick(t, simHolders)]
 			h.incarnation++
 			h.Holder = NewHolder(Identity{VM: h.name, Incarnation: fmt.Sprint(h.incarnation), FailureDomain: "a"}, w.check)
 			h.unsent = nil
 		},
 		"change want": func(t *rapid.T) {
-			w.holders[pick(t, worldHolders)].want = rapid.IntRange(0, 16).Draw(t, "want")
+			w.holders[pick(t, simHolders)].want = rapid.IntRange(0, 16).Draw(t, "want")
 		},
 		"cut grantor": func(t *rapid.T) {
-			w.grantors[pick(t, worldGrantors)].cutUntil = w.now.Add(ms(t, 6000))
+			w.grantors[pick(t, simGrantors)].cutUntil = w.now.Add(ms(t, 6000))
 		},
 		"cut grantor from log": func(t *rapid.T) {
-			w.grantors[pick(t, worldGrantors)].logCutUntil = w.now.Add(ms(t, 6000))
+			w.grantors[pick(t, simGrantors)].logCutUntil = w.now.Add(ms(t, 6000))
 		},
 		"pause grantor": func(t *rapid.T) {
-			w.grantors[pick(t, worldGrantors)].pausedUntil = w.now.Add(ms(t, 4000))
+			w.grantors[pick(t, simGrantors)].pausedUntil = w.now.Add(ms(t, 4000))
 		},
 		"restart grantor": func(t *rapid.T) {
-			w.restart(w.grantors[pick(t, worldGrantors)])
+			w.restart(w.grantors[pick(t, simGrantors)])
 		},
 		"hand over": func(t *rapid.T) {
-			w.handOver(w.servers[pick(t, worldServers)], w.grantors[pick(t, worldGrantors)])
+			w.handOver(w.servers[pick(t, simServers)], w.grantors[pick(t, simGrantors)])
 		},
 		"take out or bring back": func(t *rapid.T) {
 			_, v := w.version()
 			out := rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "domain")
-			w.versions = append(w.versions, version{w.now, worldSet(v.set.Pools[poolName].Concurrency, out)})
+			w.versions = append(w.versions, version{w.now, simConfig(v.set.Pools[poolName].Concurrency, out)})
 			if v.set.FailureDomains["a"].Out == (out == "a") && v.set.FailureDomains["b"].Out == (out == "b") {
 				w.versions[len(w.versions)-1].at = v.at
 			}
 		},
 		"change concurrency": func(t *rapid.T) { w.changeConcurrency(rapid.IntRange(2, 6).Draw(t, "concurrency")) },
 		"restart server": func(t *rapid.T) {
-			w.restartServer(w.servers[pick(t, worldServers)])
+			w.restartServer(w.servers[pick(t, simServers)])
 		},
 		"leave": func(t *rapid.T) {
-			s := w.servers[pick(t, worldServers)]
+			s := w.servers[pick(t, simServers)]
 			if s.leaving.IsZero() {
 				w.leave(s)
 			}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (w *world) changeConcurrency(n int) {
+func (w *simulation) changeConcurrency(n int) {
 	_, v := w.version()
 	out := ""
 	for name, d := range v.set.FailureDomains {
@@ -102,14 +102,14 @@
 			out = name
 		}
 	}
-	w.versions = append(w.versions, version{v.at, worldSet(n, out)})
+	w.versions = append(w.versions, version{v.at, simConfig(n, out)})
 	for _, s := range w.servers {
-		s.caps = append(s.caps, capChange{w.now, n})
+		s.limits = append(s.limits, limitChange{w.now, n})
 	}
 }
 
-// restartServer ends the server's process; what ran on it is gone.
-func (w *world) restartServer(s *worldServer) {
+// restartServer restarts the server's process; the calls that ran on it fail.
+func (w *simulation) restartServer(s *simServer) {
 	for c := range s.running {
 		delete(s.running, c)
 		w.finish(c, Outcome{Broken: true})
@@ -120,8 +120,8 @@
 	s.announceAt = w.now
 }
 
-// leave announces the leaving to the VM that grants, now.
-func (w *world) leave(s *worldServer) {
+// leave makes the server announce, without delay, to the VM that grants in its shard that it is leaving.
+func (w *simulation) leave(s *simServer) {
 	g := w.owner(ShardOf(s.name))
 	if !g.Holds(ShardOf(s.name), w.now) || g.servers[s.name] == nil {
 		return
--- a/pkg/grant/fuzz_test.go
+++ b/pkg/grant/simulation_test.go
@@ -32,26 +32,26 @@
 }
 
 const (
-	worldTick     = 20 * time.Millisecond
-	worldGrantors = 3
-	worldHolders  = 5
-	worldServers  = 4
-	worldDeadline = 5 * time.Second
-	poolName      = "gen"
+	simTick     = 20 * time.Millisecond
+	simGrantors = 3
+	simHolders  = 5
+	simServers  = 4
+	maxCallTime = 5 * time.Second
+	poolName    = "gen"
 )
 
-// world is a small system of real Grantors and Holders over a faulty network, and the truth about what runs on each
-// backend server.
-type world struct {
+// simulation is a small system of real Grantors and Holders over a faulty network in virtual time, with a record of the
+// calls that run on each backend server.
+type simulation struct {
 	t        *rapid.T
 	rng      *rand.Rand
 	now      time.Time
 	check    *invariant.Recorder
 	versions []version
 	leases   *lease.Table
-	grantors []*worldGrantor
-	holders  []*worldHolder
-	servers  []*worldServer
+	grantors []*simGrantor
+	holders  []*simHolder
+	servers  []*simServer
 	messages []message
 	started  int
 }
@@ -61,19 +61,19 @@
 	set *config.Set
 }
 
-type worldGrantor struct {
+type simGrantor struct {
 	*Grantor
 	name        string
 	incarnation int
 	observer    *lease.Observer
 	renewAt     time.Time
 	cutUntil    time.Time
-	// logCutUntil is until when the VM reaches holders but not the log.
+	// logCutUntil is the end of the period in which the VM reaches holders but not the replicated log with the leases.
 	logCutUntil time.Time
 	pausedUntil time.Time
 }
 
-type worldHolder struct {
+type simHolder struct {
 	*Holder
 	name        string
 	incarnation int
@@ -85,30 +85,30 @@
 }
 
 type call struct {
-	server      *worldServer
-	holder      *worldHolder
-	of          *Holder
+	server      *simServer
+	holder      *simHolder
+	process     *Holder
 	incarnation string
 	sendAt      time.Time
 	endAt       time.Time
 }
 
-type worldServer struct {
+type simServer struct {
 	name        string
 	domain      string
 	incarnation int
 	announceAt  time.Time
 	running     map[*call]bool
 	completed   int
-	// coldKnown is when every grantor that grants knew of the present incarnation; zero before that.
+	// coldKnown is when the VM that grants in the server's shard learnt of the current incarnation; zero before that.
 	coldKnown time.Time
 	leaving   time.Time
-	caps      []capChange
+	limits    []limitChange
 }
 
-type capChange struct {
-	at  time.Time
-	cap int
+type limitChange struct {
+	at    time.Time
+	limit int
 }
 
 type message struct {
@@ -116,53 +116,53 @@
 	deliver func()
 }
 
-func newWorld(t *rapid.T) *world {
+func newSimulation(t *rapid.T) *simulation {
 	seed := rapid.Uint64().Draw(t, "seed")
-	w := &world{
+	w := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0),
 		check: invariant.NewRecorder(logr.Discard()), leases: lease.New(),
 	}
-	w.versions = []version{{at: w.now, set: worldSet(4, "")}}
-	for i := range worldGrantors {
-		g := &worldGrantor{name: fmt.Sprintf("c%d", i)}
+	w.versions = []version{{at: w.now, set: simConfig(4, "")}}
+	for i := range simGrantors {
+		g := &simGrantor{name: fmt.Sprintf("c%d", i)}
 		w.restart(g)
 		w.grantors = append(w.grantors, g)
 	}
-	for i := range worldHolders {
-		h := &worldHolder{name: fmt.Sprintf("e%d", i)}
+	for i := range simHolders {
+		h := &simHolder{name: fmt.Sprintf("e%d", i)}
 		h.Holder = NewHolder(Identity{VM: h.name, Incarnation: "0", FailureDomain: "a"}, w.check)
 		w.holders = append(w.holders, h)
 	}
-	for i := range worldServers {
-		w.servers = append(w.servers, &worldServer{
+	for i := range simServers {
+		w.servers = append(w.servers, &simServer{
 			name: fmt.Sprintf("s%d", i), domain: []string{"a", "b"}[i%2], running: make(map[*call]bool),
-			caps: []capChange{{at: w.now, cap: 4}},
+			limits: []limitChange{{at: w.now, limit: 4}},
 		})
 	}
 	return w
 }
 
-func worldSet(concurrency int, out string) *config.Set {
+func simConfig(concurrency int, out string) *config.Set {
 	return &config.Set{
 		FailureDomains: map[string]*config.FailureDomain{"a": {Out: out == "a"}, "b": {Out: out == "b"}},
 		Pools:          map[string]*config.Pool{poolName: {Concurrency: concurrency, ColdConcurrency: 1, WarmAfter: 4, ReportsLoad: true}},
 	}
 }
 
-// version returns the newest configuration.
-func (w *world) version() (uint64, version) {
+// version returns the newest configuration and its number.
+func (w *simulation) version() (uint64, version) {
 	return uint64(len(w.versions)), w.versions[len(w.versions)-1]
 }
 
-func (w *world) restart(g *worldGrantor) {
+func (w *simulation) restart(g *simGrantor) {
 	g.incarnation++
 	g.Grantor = NewGrantor(w.check, w.rng, w.now)
 	g.observer = lease.NewObserver()
 	g.renewAt = w.now
 }
 
-// send delivers after a random delay, or never, or twice.
-func (w *world) send(cut bool, deliver func()) {
+// send delivers a message after a random delay, never or twice. With cut set, it is never delivered.
+func (w *simulation) send(cut bool, deliver func()) {
 	if cut || w.rng.IntN(10) == 0 {
 		return
 	}
@@ -176,9 +176,9 @@
 	}
 }
 
-// tick moves time and lets everything that is due happen.
-func (w *world) tick() {
-	w.now = w.now.Add(worldTick)
+// tick advances the time by simTick, delivers the messages that are due and runs all processes.
+func (w *simulation) tick() {
+	w.now = w.now.Add(simTick)
 	kept := w.messages[:0]
 	var due []message
 	for _, m := range w.messages {
@@ -203,8 +203,8 @@
 	}
 }
 
-// runGrantor renews leases through a log that answers late, twice or not at all.
-func (w *world) runGrantor(g *worldGrantor) {
+// runGrantor renews leases through a log whose answers come late, twice or not at all.
+func (w *simulation) runGrantor(g *simGrantor) {
 	if w.now.Before(g.pausedUntil) || w.now.Before(g.renewAt) {
 		return
 	}
@@ -238,14 +238,14 @@
 	}
 }
 
-func (g *worldGrantor) command(shard uint32) *daisyhatchv1.LeaseCommand {
+func (g *simGrantor) command(shard uint32) *daisyhatchv1.LeaseCommand {
 	return &daisyhatchv1.LeaseCommand{
 		Name: LeaseName(shard), Holder: g.name, Incarnation: fmt.Sprint(g.incarnation), TtlMs: LeaseTTL.Milliseconds(),
 	}
 }
 
-// handOver passes a server's shard on to another VM and gives the lease up.
-func (w *world) handOver(s *worldServer, to *worldGrantor) {
+// handOver hands a server's shard over to another VM and releases the lease.
+func (w *simulation) handOver(s *simServer, to *simGrantor) {
 	shard := ShardOf(s.name)
 	from := w.owner(shard)
 	if from == to || w.now.Before(from.pausedUntil) {
@@ -263,7 +263,7 @@
 	})
 }
 
-func (w *world) owner(shard uint32) *worldGrantor {
+func (w *simulation) owner(shard uint32) *simGrantor {
 	l := w.leases.Get(LeaseName(shard))
 	for _, g := range w.grantors {
 		if l.GetHolder() == g.name {
@@ -273,7 +273,7 @@
 	return w.grantors[0]
 }
 
-func (w *world) runServer(s *worldServer) {
+func (w *simulation) runServer(s *simServer) {
 	for c := range s.running {
 		if w.now.Before(c.endAt) {
 			continue
@@ -293,30 +293,30 @@
 	g := w.owner(ShardOf(s.name))
 	sent := w.now
 	w.send(w.now.Before(g.cutUntil), func() {
-		if w.now.Before(g.pausedUntil) || w.now.Sub(sent) > reportDelay {
+		if w.now.Before(g.pausedUntil) || w.now.Sub(sent) > maxAnnounceDelay {
 			return
 		}
 		g.Announce(a, w.now)
 		if a.Incarnation == fmt.Sprint(s.incarnation) {
-			w.informed(s, g)
+			w.recordKnown(s, g)
 		}
 	})
 }
 
-// informed notes when the only VM that may grant knows the server's incarnation.
-func (w *world) informed(s *worldServer, g *worldGrantor) {
+// recordKnown sets coldKnown once the VM that holds the lease knows the server's incarnation.
+func (w *simulation) recordKnown(s *simServer, g *simGrantor) {
 	if s.coldKnown.IsZero() && g.Holds(ShardOf(s.name), w.now) {
 		s.coldKnown = w.now
 	}
 }
 
-func (w *world) finish(c *call, o Outcome) {
-	if c.holder.Holder == c.of {
-		c.of.Done(c.server.name, c.incarnation, o, w.now)
+func (w *simulation) finish(c *call, o Outcome) {
+	if c.holder.Holder == c.process {
+		c.process.Done(c.server.name, c.incarnation, o, w.now)
 	}
 }
 
-func (w *world) runHolder(h *worldHolder) {
+func (w *simulation) runHolder(h *simHolder) {
 	if w.now.Before(h.pausedUntil) {
 		return
 	}
@@ -332,7 +332,7 @@
 	}
 }
 
-func (w *world) ask(h *worldHolder, g *worldGrantor) {
+func (w *simulation) ask(h *simHolder, g *simGrantor) {
 	of, to := h.Holder, g.Grantor
 	owns := func(shard uint32) bool { return w.owner(shard) == g }
 	r := of.Ask(g.name, owns, []Demand{{Pool: poolName, Units: h.want}}, w.now)
@@ -356,7 +356,7 @@
 	})
 }
 
-func (w *world) startCalls(h *worldHolder) {
+func (w *simulation) startCalls(h *simHolder) {
 	if w.rng.IntN(3) > 0 {
 		return
 	}
@@ -366,7 +366,7 @@
 		if w.rng.IntN(2) == 0 || !h.Start(g.Server.Server, w.now) {
 			continue
 		}
-		c := &call{holder: h, of: h.Holder, incarnation: g.Server.Incarnation, sendAt: w.now}
+		c := &call{holder: h, process: h.Holder, incarnation: g.Server.Incarnation, sendAt: w.now}
 		for _, s := range w.servers {
 			if s.name == g.Server.Server {
 				c.server = s
@@ -375,7 +375,7 @@
 		if w.rng.IntN(4) == 0 {
 			c.sendAt = w.now.Add(time.Duration(w.rng.IntN(400)) * time.Millisecond)
 		}
-		c.endAt = w.now.Add(time.Duration(w.rng.Int64N(int64(worldDeadline))))
+		c.endAt = w.now.Add(time.Duration(w.rng.Int64N(int64(maxCallTime))))
 		if w.rng.IntN(2) == 0 {
 			c.endAt = w.now.Add(time.Duration(w.rng.IntN(300)) * time.Millisecond)
 		}
@@ -383,7 +383,7 @@
 	}
 }
 
-func (w *world) sendCalls(h *worldHolder) {
+func (w *simulation) sendCalls(h *simHolder) {
 	kept := h.unsent[:0]
 	for _, c := range h.unsent {
 		switch {
@@ -400,34 +400,35 @@
 	h.unsent = kept
 }
 
-// checkStart is the oracle: it judges each call that reaches a server by what really runs there.
-func (w *world) checkStart(s *worldServer) {
+// checkStart fails the test when a call that has reached s exceeds the server's concurrency or cold ramp, or comes too
+// late after the server or its failure domain was taken out of service.
+func (w *simulation) checkStart(s *simServer) {
 	running := len(s.running)
-	require.LessOrEqual(w.t, running, s.most(w.now), "server %s runs more than its concurrency", s.name)
+	require.LessOrEqual(w.t, running, s.maxConcurrency(w.now), "server %s runs more than its concurrency", s.name)
 	if !s.coldKnown.IsZero() && w.now.After(s.coldKnown.Add(TTL)) && s.incarnation > 0 {
 		require.LessOrEqual(w.t, running, s.ramp(w.now), "server %s is cold, %d completed", s.name, s.completed)
 	}
 	_, v := w.version()
 	if v.set.FailureDomains[s.domain].Out {
-		require.False(w.t, w.now.After(v.at.Add(LeaseTTL+TTL)), "server %s of a taken-out domain got work", s.name)
+		require.False(w.t, w.now.After(v.at.Add(LeaseTTL+TTL)), "server %s got work although its failure domain is taken out", s.name)
 	}
 	if !s.leaving.IsZero() {
-		require.False(w.t, w.now.After(s.leaving.Add(TTL)), "server %s was leaving", s.name)
+		require.False(w.t, w.now.After(s.leaving.Add(TTL)), "server %s got work although it is leaving", s.name)
 	}
 }
 
-// most returns the highest concurrency in force in the time that grants last.
-func (s *worldServer) most(now time.Time) int {
+// maxConcurrency returns the highest concurrency under which a call that still runs may have been granted.
+func (s *simServer) maxConcurrency(now time.Time) int {
 	most := 0
-	for i, c := range s.caps {
-		ended := i+1 < len(s.caps) && s.caps[i+1].at.Add(LeaseTTL+TTL+worldDeadline).Before(now)
+	for i, c := range s.limits {
+		ended := i+1 < len(s.limits) && s.limits[i+1].at.Add(LeaseTTL+TTL+maxCallTime).Before(now)
 		if !ended {
-			most = max(most, c.cap)
+			most = max(most, c.limit)
 		}
 	}
 	return most
 }
 
-func (s *worldServer) ramp(now time.Time) int {
-	return 1 + (s.most(now)-1)*max(0, min(s.completed, 8)-4)/4
+func (s *simServer) ramp(now time.Time) int {
+	return 1 + (s.maxConcurrency(now)-1)*max(0, min(s.completed, 8)-4)/4
 }
--- a/pkg/grant/held.go
+++ b/pkg/grant/status.go
@@ -8,16 +8,16 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// HeldServer is a backend server whose shard's lease is held here.
+// HeldServer is a backend server in a shard whose lease this VM holds.
 type HeldServer struct {
-	// Announcement is the last one. It must not be changed.
+	// Announcement is the server's last one. It must not be modified.
 	Announcement *daisyhatchv1.Announcement
-	// Fence is the lease's, and Until is when it ends unless renewed.
+	// Fence is that of the lease, and Until is when the lease ends unless renewed.
 	Fence uint64
 	Until time.Time
 }
 
-// Held returns the servers of the held shards that were heard of lately, by name.
+// Held returns the servers of the held shards that announced themselves within AnnounceTTL, sorted by name.
 func (g *Grantor) Held(now time.Time) []HeldServer {
 	var out []HeldServer
 	for _, s := range g.servers {
@@ -33,7 +33,7 @@
 	return out
 }
 
-// Servers returns what is known of the servers in the shards that the VM holds, sorted by name.
+// Servers returns the status of the servers in the shards that the VM holds, sorted by name.
 func (g *Grantor) Servers(now time.Time) []*daisyhatchv1.ServerStatus {
 	var out []*daisyhatchv1.ServerStatus
 	for _, s := range g.servers {
