--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -153,9 +153,9 @@
 	f.control = fleet.NewControl(fleet.ControlOptions{
 		VM: f.consensusName(), Address: f.peerAddress(), Incarnation: f.incarnation, LossesBorne: f.settings.Fleet.LossesBorne,
 		Node: f.node, Machine: machine, State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, HTTP: p.client,
-		Suspects: f.suspects.Learn, Log: k.Log().WithName("control"),
+		Suspects: f.suspects.UpdateSuspects, Log: k.Log().WithName("control"),
 	}, stages)
-	reporter.PreferOwn(f.control)
+	reporter.PreferLocal(f.control)
 	p.handle(f.control.Handler(compressLarge()))
 	r := chi.NewRouter()
 	f.dialect.AddControlRoutes(r, f.control)
@@ -211,7 +211,7 @@
 
 // Stop implements kernel.Service.
 func (f *fleetControl) Stop(ctx context.Context) error {
-	f.control.ReleaseStages(ctx)
+	f.control.ReleaseStageOwnership(ctx)
 	err := f.operators.Stop(ctx)
 	f.cancel()
 	<-f.done
@@ -280,7 +280,7 @@
 	}
 	o := fleet.FollowerOptions{
 		VM: f.settings.VM.Name, Incarnation: f.incarnation, Entry: f.settings.VM.Entry(), Domain: f.settings.VM.FailureDomain,
-		State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, Suspects: f.suspects.Learn, HTTP: p.client,
+		State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, Suspects: f.suspects.UpdateSuspects, HTTP: p.client,
 		Log: k.Log().WithName("follow"),
 	}
 	if f.settings.VM.Control() {
@@ -385,9 +385,9 @@
 	}
 	s := f.settings.Fleet
 	f.relay = relay.New(relay.Options{
-		VM: f.settings.VM.Name, FailureDomain: f.settings.VM.FailureDomain, Dialect: f.dialect, Knowledge: f.state,
+		VM: f.settings.VM.Name, FailureDomain: f.settings.VM.FailureDomain, Dialect: f.dialect, View: f.state,
 		Stages: stageclient.New(stageclient.Options{
-			Known: f.state, Heard: w.follower.Heard, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
+			Known: f.state, Heard: w.follower.Connected, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
 			Log: k.Log().WithName("stages"),
 		}),
 		Pool:        f.pool,
--- a/pkg/stageclient/stageclient.go
+++ b/pkg/stageclient/stageclient.go
@@ -93,7 +93,7 @@
 	errNoResults = errors.New("stageclient: the answer ended without results")
 )
 
-// Run implements relay.Stages. A job whose owner can't be reached is tried again, at the owner that the group names by
+// Run implements relay.StageRunner. A job whose owner can't be reached is tried again, at the owner that the group names by
 // then.
 func (c *Client) Run(ctx context.Context, q relay.StageRequest) ([]relay.StageResult, error) {
 	patience := time.Now().Add(min(ownerWait, time.Duration(ownerWaitShare*float64(time.Until(q.Deadline)))))
@@ -101,7 +101,7 @@
 		owner, changed := c.known.StageOwner(q.Service)
 		if owner.Address != "" {
 			results, err := c.runAt(ctx, owner, q)
-			var refused *relay.StageRefused
+			var refused *relay.StageRefusedError
 			if err == nil || errors.As(err, &refused) || ctx.Err() != nil {
 				return results, err
 			}
@@ -116,7 +116,7 @@
 			}
 			return c.results(res)
 		case now.After(patience):
-			return nil, &relay.StageRefused{RetryAfter: ownerRetry, Reason: "no control VM forms the calls of the service now"}
+			return nil, &relay.StageRefusedError{RetryAfter: ownerRetry, Reason: "no control VM forms the calls of the service now"}
 		}
 		select {
 		case <-ctx.Done():
@@ -204,13 +204,13 @@
 func (c *Client) results(m *daisyhatchv1.StageRunResponse) ([]relay.StageResult, error) {
 	if m.GetRefused() {
 		wait := time.Duration(m.GetRetryAfterMs()) * time.Millisecond
-		return nil, &relay.StageRefused{RetryAfter: wait, Reason: cmp.Or(m.GetReason(), "the queue is too long for the deadline")}
+		return nil, &relay.StageRefusedError{RetryAfter: wait, Reason: cmp.Or(m.GetReason(), "the queue is too long for the deadline")}
 	}
 	var out []relay.StageResult
 	var failed error
 	for _, r := range m.GetResults() {
 		if r.GetHandle() == "" {
-			failed = &relay.StageRefused{
+			failed = &relay.StageRefusedError{
 				RetryAfter: pieceRetry, Reason: "a piece was not made: " + r.GetReason(),
 				Lost: r.GetReason() == dialect.ReasonGone || r.GetReason() == dialect.ReasonError,
 			}
@@ -224,5 +224,5 @@
 // pieceRetry is when a request may come back of which a piece could not be made: about a call's time.
 const pieceRetry = 300 * time.Millisecond
 
-// Free implements relay.Stages.
+// Free implements relay.StageRunner.
 func (c *Client) Free(handles []string) { c.freer.Free(handles) }
