--- a/pkg/grant/status.go
+++ b/pkg/grant/status.go
@@ -17,8 +17,8 @@
 	Until time.Time
 }
 
-// Held returns the servers of the held shards that announced themselves within AnnounceTTL, sorted by name.
-func (g *Grantor) Held(now time.Time) []HeldServer {
+// HeldServers returns the servers of the held shards that announced themselves within AnnounceTTL, sorted by name.
+func (g *Grantor) HeldServers(now time.Time) []HeldServer {
 	var out []HeldServer
 	for _, s := range g.servers {
 		if s.ann == nil || !g.Holds(s.shard, now) || now.Sub(s.heard) > AnnounceTTL {
--- a/pkg/grantservice/service.go
+++ b/pkg/grantservice/service.go
@@ -137,7 +137,7 @@
 func (s *Service) Held() []grant.HeldServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.grantor.Held(time.Now())
+	return s.grantor.HeldServers(time.Now())
 }
 
 // configure follows the configuration that the state machine has applied.
