--- a/pkg/grant/handover.go
+++ b/pkg/grant/handover.go
@@ -106,8 +106,8 @@
 	return false
 }
 
-// Waits reports whether the shard is held but in its quiet period, since grants of a former grantor may still be valid.
-func (g *Grantor) Waits(shard uint32, now time.Time) bool {
+// WaitsForQuietPeriod reports whether the shard is held but in its quiet period, since grants of a former grantor may still be valid.
+func (g *Grantor) WaitsForQuietPeriod(shard uint32, now time.Time) bool {
 	return g.Holds(shard, now) && g.inQuietPeriod(shard, now)
 }
 
--- a/pkg/grant/handover_test.go
+++ b/pkg/grant/handover_test.go
@@ -19,7 +19,7 @@
 	next := b.successor()
 	next.Renewed(ShardOf("s1"), 2, false, b.now, b.now)
 	require.Zero(t, b.ask(y, next, 1), "grants of the former grantor may still be valid")
-	require.True(t, next.Waits(ShardOf("s1"), b.now))
+	require.True(t, next.WaitsForQuietPeriod(ShardOf("s1"), b.now))
 	b.now = b.now.Add(10 * time.Millisecond)
 	next.Import(state, b.now)
 	require.Equal(t, 1, b.ask(y, next, 1), "x holds three of the four units")
@@ -35,7 +35,7 @@
 	next := b.successor()
 	next.Renewed(ShardOf("s1"), 3, false, b.now, b.now)
 	next.Import(state, b.now)
-	require.True(t, next.Waits(ShardOf("s1"), b.now))
+	require.True(t, next.WaitsForQuietPeriod(ShardOf("s1"), b.now))
 	require.Zero(t, b.granted(x, next, 4))
 }
 
--- a/pkg/grantservice/handover.go
+++ b/pkg/grantservice/handover.go
@@ -147,7 +147,7 @@
 	var waiting []uint32
 	s.mu.Lock()
 	for shard := range uint32(grant.Shards) {
-		if s.grantor.Waits(shard, time.Now()) {
+		if s.grantor.WaitsForQuietPeriod(shard, time.Now()) {
 			waiting = append(waiting, shard)
 		}
 	}
