--- a/pkg/grant/handover.go
+++ b/pkg/grant/handover.go
@@ -96,8 +96,8 @@
 	return h != nil && h.state.Fence == fence
 }
 
-// Expecting reports whether a state was imported within expectLeasePeriod whose lease is not acquired yet.
-func (g *Grantor) Expecting(now time.Time) bool {
+// ExpectsLease reports whether a state was imported within expectLeasePeriod whose lease is not acquired yet.
+func (g *Grantor) ExpectsLease(now time.Time) bool {
 	for _, h := range g.imported {
 		if h != nil && now.Sub(h.at) < expectLeasePeriod {
 			return true
--- a/pkg/grantservice/keep.go
+++ b/pkg/grantservice/keep.go
@@ -42,7 +42,7 @@
 func (s *Service) poll() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.grantor.Expecting(time.Now()) {
+	if s.grantor.ExpectsLease(time.Now()) {
 		return pollExpecting
 	}
 	return pollEvery
