--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -369,8 +369,8 @@
 	return h.notices.Available(g.Server.Server, g.Server.Incarnation, now)
 }
 
-// Noticed records a notice that an incarnation of a server gave in an answer, and reports whether it changes anything.
-func (h *Holder) Noticed(server, incarnation string, n holdoff.Notice, now time.Time) bool {
+// RecordNotice records a notice that an incarnation of a server gave in an answer, and reports whether it changes anything.
+func (h *Holder) RecordNotice(server, incarnation string, n holdoff.Notice, now time.Time) bool {
 	return h.notices.Record(server, incarnation, n, now)
 }
 
--- a/pkg/slots/slot.go
+++ b/pkg/slots/slot.go
@@ -134,7 +134,7 @@
 func (s *Slots) Noticed(t engine.Target, n holdoff.Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holder.Noticed(t.Server, t.Incarnation, n, time.Now()) {
+	if s.holder.RecordNotice(t.Server, t.Incarnation, n, time.Now()) {
 		s.opts.Logger.Info("server wants no more calls", "server", t.Server, "incarnation", t.Incarnation, "leaving", n.Leaving,
 			"wait_ms", n.Wait.Milliseconds())
 	}
