--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -327,9 +327,9 @@
 	}
 }
 
-// From calls f for each server of the pool on which one more call may start now, in the order of entries from index
+// UsableFrom calls f for each server of the pool on which one more call may start now, in the order of entries from index
 // start on and wrapping around, until f returns false.
-func (h *Holder) From(pool string, start int, exclusive bool, now time.Time, f func(*Held) bool) {
+func (h *Holder) UsableFrom(pool string, start int, exclusive bool, now time.Time, f func(*Held) bool) {
 	l := h.byPool[pool]
 	for i := range l {
 		g := l[(start+i)%len(l)]
--- a/pkg/slots/pool.go
+++ b/pkg/slots/pool.go
@@ -112,7 +112,7 @@
 	}
 	avoided := false
 	for range 2 {
-		h.From(p.name, rng.IntN(n), r.Alone, now, func(g *grant.Held) bool {
+		h.UsableFrom(p.name, rng.IntN(n), r.Alone, now, func(g *grant.Held) bool {
 			if !serves(g.Server, r) {
 				return true
 			}
@@ -125,7 +125,7 @@
 		})
 	}
 	if len(p.held) == 0 && avoided && !p.others(h, r, now) {
-		h.From(p.name, rng.IntN(n), r.Alone, now, func(g *grant.Held) bool {
+		h.UsableFrom(p.name, rng.IntN(n), r.Alone, now, func(g *grant.Held) bool {
 			if serves(g.Server, r) {
 				p.add(g)
 			}
