--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -436,7 +436,7 @@
 			g.Units, g.Until = 0, time.Time{}
 		}
 	}
-	h.Forget(grantor)
+	h.EndSession(grantor)
 	r := h.Ask(grantor, owns, nil, now)
 	r.Release = true
 	return r
--- a/pkg/grant/numbers_test.go
+++ b/pkg/grant/numbers_test.go
@@ -62,7 +62,7 @@
 			_, err := b.Acquire(h.Ask("g", anyShard, []Demand{{Pool: poolName, Units: 4}}, b.now), b.now)
 			require.ErrorIs(t, err, ErrUnknownNumber)
 			require.Equal(t, 4, b.servers["s1"].charged)
-			h.Forget("g")
+			h.EndSession("g")
 			r, _ := exchange(b, h, 4)
 			require.Equal(t, "x", r.Vm)
 			require.Equal(t, "s1", r.Demands[0].Uses[0].Server)
--- a/pkg/grant/session.go
+++ b/pkg/grant/session.go
@@ -20,9 +20,9 @@
 	names   map[uint32]string
 }
 
-// Forget ends the session with a grantor, so that the next request carries names. It is to be called when the grantor
+// EndSession ends the session with a grantor, so that the next request carries names. It is to be called when the grantor
 // refused a request with ErrUnknownNumber.
-func (h *Holder) Forget(grantor string) { delete(h.sessions, grantor) }
+func (h *Holder) EndSession(grantor string) { delete(h.sessions, grantor) }
 
 // identify sets the sender of a request: the session, or the holder's identity without one.
 func (h *Holder) identify(r *daisyhatchv1.AcquireRequest, s *session) {
--- a/pkg/grant/simulation_test.go
+++ b/pkg/grant/simulation_test.go
@@ -343,7 +343,7 @@
 		}
 		out, err := to.Acquire(r, w.now)
 		if errors.Is(err, ErrUnknownNumber) {
-			w.send(cut(), func() { of.Forget(g.name) })
+			w.send(cut(), func() { of.EndSession(g.name) })
 		}
 		if err != nil {
 			return
--- a/pkg/slots/ask.go
+++ b/pkg/slots/ask.go
@@ -198,7 +198,7 @@
 	defer s.mu.Unlock()
 	s.asking[address] = false
 	if connect.CodeOf(err) == connect.CodeFailedPrecondition {
-		s.holder.Forget(address)
+		s.holder.EndSession(address)
 		s.wake()
 		return
 	}
