--- a/internal/capacity/probes.go
+++ b/internal/capacity/probes.go
@@ -259,7 +259,7 @@
 	const many = rounds * 50
 	total, err := cpu(func() error {
 		for range many {
-			now = now.Add(grant.Renew)
+			now = now.Add(grant.RenewInterval)
 			for i, a := range answers {
 				name := fmt.Sprint("grantor-", i)
 				r := h.Ask(name, owns, demands, now)
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -21,7 +21,7 @@
 
 // Rates that follow from the design.
 const (
-	renewPerS     = float64(time.Second / grant.Renew)
+	renewPerS     = float64(time.Second / grant.RenewInterval)
 	beatPerS      = 1.0
 	claimShare    = 0.05 // assumed share of requests that are not repeatable
 	longestS      = 5.0  // no stage call lasts longer than the pipelines' deadline
--- a/pkg/grant/bench_test.go
+++ b/pkg/grant/bench_test.go
@@ -85,7 +85,7 @@
 			f.ask(i, h, c)
 		}
 	}
-	f.now = f.now.Add(Renew)
+	f.now = f.now.Add(RenewInterval)
 	f.renew()
 }
 
@@ -116,7 +116,7 @@
 			}
 			f.bytes = 0
 			f.round()
-			perSecond := float64(f.bytes) / Renew.Seconds()
+			perSecond := float64(f.bytes) / RenewInterval.Seconds()
 			f.holders = f.holders[:1]
 			owns := func(shard uint32) bool { return f.owner(shard) == 0 }
 			demands := []Demand{{Pool: poolName, Units: (s.units + s.controls - 1) / s.controls}}
--- a/pkg/grant/grantor.go
+++ b/pkg/grant/grantor.go
@@ -266,7 +266,7 @@
 	out := &daisyhatchv1.AcquireResponse{
 		Sequence:             r.Sequence,
 		ConfigurationVersion: g.version,
-		RenewMs:              Renew.Milliseconds(),
+		RenewMs:              RenewInterval.Milliseconds(),
 		TtlMs:                TTL.Milliseconds(),
 	}
 	if r.Session == 0 {
--- a/pkg/grant/grantor_test.go
+++ b/pkg/grant/grantor_test.go
@@ -127,7 +127,7 @@
 	b.now = b.now.Add(time.Millisecond)
 	b.lease(next, 2)
 	next.Announce(announcementOfS1(nil), b.now)
-	for range 2 * int(QuietPeriod/Renew) {
+	for range 2 * int(QuietPeriod/RenewInterval) {
 		b.lease(next, 2)
 		next.Announce(announcementOfS1(nil), b.now)
 		mine, theirs := b.ask(x, next, 4), 0
@@ -135,7 +135,7 @@
 			theirs = h.Units
 		}
 		require.LessOrEqual(t, mine+theirs, 4)
-		b.now = b.now.Add(Renew)
+		b.now = b.now.Add(RenewInterval)
 	}
 }
 
@@ -285,7 +285,7 @@
 				b.Announce(announcementOfS1(&daisyhatchv1.Load{Cold: false}), b.now)
 			}
 			for range 4 {
-				b.now = b.now.Add(Renew / 2)
+				b.now = b.now.Add(RenewInterval / 2)
 				b.lease(b.Grantor, 1)
 				sum := b.ask(x, b.Grantor, 4) + b.ask(y, b.Grantor, 4)
 				require.LessOrEqual(t, sum, 4)
@@ -355,7 +355,7 @@
 			sum += s.charged
 		}
 		require.LessOrEqual(t, sum, 3)
-		b.now = b.now.Add(Renew)
+		b.now = b.now.Add(RenewInterval)
 	}
 	for i, n := range turns {
 		require.Positive(t, n, "holder %d never got a unit", i)
@@ -368,13 +368,13 @@
 	b.warm(x)
 	dead := b.now
 	for b.now.Before(dead.Add(TTL + defaultDeadline)) {
-		b.now = b.now.Add(Renew)
+		b.now = b.now.Add(RenewInterval)
 		b.lease(b.Grantor, 1)
 		b.Announce(announcementOfS1(nil), b.now)
 		b.Tick(b.now)
 		require.Zero(t, b.ask(y, b.Grantor, 4))
 	}
-	b.now = b.now.Add(Renew)
+	b.now = b.now.Add(RenewInterval)
 	b.lease(b.Grantor, 1)
 	b.Tick(b.now)
 	require.Equal(t, 4, b.ask(y, b.Grantor, 4))
--- a/pkg/grant/shard.go
+++ b/pkg/grant/shard.go
@@ -20,8 +20,8 @@
 	LeaseTTL = 1500 * time.Millisecond
 	// TTL is how long a holder may start calls under a grant, counted from when it sent the request for it.
 	TTL = 1500 * time.Millisecond
-	// Renew is the interval between the requests of one holder, and between renewals of a lease.
-	Renew = 500 * time.Millisecond
+	// RenewInterval is the interval between the requests of one holder, and between renewals of a lease.
+	RenewInterval = 500 * time.Millisecond
 	// RenewContended is the interval between a holder's requests while the demand for a pool exceeds its budget, so
 	// that units pass between holders sooner.
 	RenewContended = 250 * time.Millisecond
--- a/pkg/grant/simulation_test.go
+++ b/pkg/grant/simulation_test.go
@@ -208,7 +208,7 @@
 	if w.now.Before(g.pausedUntil) || w.now.Before(g.renewAt) {
 		return
 	}
-	g.renewAt = w.now.Add(Renew)
+	g.renewAt = w.now.Add(RenewInterval)
 	g.Tick(w.now)
 	asked, of := w.now, g.Grantor
 	cut := w.now.Before(g.cutUntil) || w.now.Before(g.logCutUntil)
@@ -325,7 +325,7 @@
 	if w.now.Before(h.askAt) {
 		return
 	}
-	h.askAt = w.now.Add(Renew)
+	h.askAt = w.now.Add(RenewInterval)
 	h.Tick(w.now)
 	for _, g := range w.grantors {
 		w.ask(h, g)
--- a/pkg/grantservice/leases.go
+++ b/pkg/grantservice/leases.go
@@ -87,7 +87,7 @@
 func (l *leases) due(vms []string, imported func(shard uint32, fence uint64) bool, now time.Time) []uint32 {
 	renew := !now.Before(l.renewAt)
 	if renew {
-		l.renewAt = now.Add(grant.Renew)
+		l.renewAt = now.Add(grant.RenewInterval)
 	}
 	var out []uint32
 	for index := range uint32(grant.Shards) {
--- a/pkg/grantservice/observe_test.go
+++ b/pkg/grantservice/observe_test.go
@@ -34,7 +34,7 @@
 		require.Equal(t, "c1", m.Lease(grant.LeaseName(0)).GetHolder(), "a renewed lease is not taken over")
 		first.cancel()
 		<-first.done
-		time.Sleep(grant.LeaseTTL - grant.Renew)
+		time.Sleep(grant.LeaseTTL - grant.RenewInterval)
 		require.Equal(t, "c1", m.Lease(grant.LeaseName(0)).GetHolder(), "taken over before its end")
 		time.Sleep(30 * time.Second)
 		require.Equal(t, "c2", m.Lease(grant.LeaseName(0)).GetHolder())
--- a/pkg/slots/ask.go
+++ b/pkg/slots/ask.go
@@ -31,7 +31,7 @@
 )
 
 // AskEvery returns the regular interval between two requests to the same one of grantors.
-func AskEvery(grantors int) time.Duration { return paced(grant.Renew, grantors) }
+func AskEvery(grantors int) time.Duration { return paced(grant.RenewInterval, grantors) }
 
 // paced stretches an interval when there are many grantors.
 func paced(d time.Duration, grantors int) time.Duration {
@@ -112,7 +112,7 @@
 // that has to wait.
 func (s *Slots) run(ctx context.Context) {
 	defer s.done.Done()
-	decayAt := time.Now().Add(grant.Renew)
+	decayAt := time.Now().Add(grant.RenewInterval)
 	for {
 		select {
 		case <-ctx.Done():
@@ -121,8 +121,8 @@
 		case <-s.kick:
 		}
 		if now := time.Now(); !now.Before(decayAt) {
-			periods := 1 + int(now.Sub(decayAt)/grant.Renew)
-			decayAt = now.Add(grant.Renew)
+			periods := 1 + int(now.Sub(decayAt)/grant.RenewInterval)
+			decayAt = now.Add(grant.RenewInterval)
 			s.decay(periods)
 		}
 		s.askAll(ctx)
@@ -139,7 +139,7 @@
 	grantors := len(s.grantors())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := grant.Renew
+	d := grant.RenewInterval
 	if time.Now().Before(s.contendedUntil) {
 		d = grant.RenewContended
 	}
@@ -215,8 +215,8 @@
 	if !s.holder.Apply(address, out, now) {
 		return
 	}
-	if out.RenewMs > 0 && out.RenewMs < grant.Renew.Milliseconds() {
-		s.contendedUntil = now.Add(grant.Renew)
+	if out.RenewMs > 0 && out.RenewMs < grant.RenewInterval.Milliseconds() {
+		s.contendedUntil = now.Add(grant.RenewInterval)
 	}
 	for _, d := range demands {
 		if d.Units > 0 {
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -187,10 +187,10 @@
 // TestManyGrantorsAreAskedLessOften runs the grantors of the design size. Calls go on although each is asked only once a
 // second.
 func TestManyGrantorsAreAskedLessOften(t *testing.T) {
-	require.Equal(t, grant.Renew, slots.AskEvery(3))
+	require.Equal(t, grant.RenewInterval, slots.AskEvery(3))
 	const grantors = 22
 	require.LessOrEqual(t, slots.AskEvery(grantors), grant.TTL*2/3, "the rest of a grant's lifetime is for the answer")
-	require.Greater(t, slots.AskEvery(grantors), grant.Renew)
+	require.Greater(t, slots.AskEvery(grantors), grant.RenewInterval)
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, grantors, 2, 66)
 		warm := c.workers(12, 20*time.Millisecond)
