--- a/pkg/grant/allocate.go
+++ b/pkg/grant/allocate.go
@@ -79,7 +79,7 @@
 		addSupply(out, s, d.PoolNumber != 0)
 	}
 	if demand > budget && len(a.candidates) > 0 {
-		out.RenewMs = RenewContended.Milliseconds()
+		out.RenewMs = ContendedRenewInterval.Milliseconds()
 	}
 	a.grantExclusive(int(d.ExclusiveWant))
 	a.distribute(min(int(d.Want), a.fairShare(budget, demand)))
--- a/pkg/grant/shard.go
+++ b/pkg/grant/shard.go
@@ -22,9 +22,9 @@
 	TTL = 1500 * time.Millisecond
 	// RenewInterval is the interval between the requests of one holder, and between renewals of a lease.
 	RenewInterval = 500 * time.Millisecond
-	// RenewContended is the interval between a holder's requests while the demand for a pool exceeds its budget, so
+	// ContendedRenewInterval is the interval between a holder's requests while the demand for a pool exceeds its budget, so
 	// that units pass between holders sooner.
-	RenewContended = 250 * time.Millisecond
+	ContendedRenewInterval = 250 * time.Millisecond
 	// QuietPeriod is how long a new grantor waits before its first grant: the lifetime of the last grant that the
 	// former grantor can have made. The lease passes to another VM only once it has ended for its former holder.
 	QuietPeriod = TTL
--- a/pkg/slots/ask.go
+++ b/pkg/slots/ask.go
@@ -141,7 +141,7 @@
 	defer s.mu.Unlock()
 	d := grant.RenewInterval
 	if time.Now().Before(s.contendedUntil) {
-		d = grant.RenewContended
+		d = grant.ContendedRenewInterval
 	}
 	for _, p := range s.pools {
 		if p.queue.Len()+p.alone.Len() > 0 {
--- a/pkg/slots/handover_test.go
+++ b/pkg/slots/handover_test.go
@@ -25,7 +25,7 @@
 const (
 	movingPools = 12
 	// movingWait is the longest wait for a slot while a shard changes hands in order.
-	movingWait = grant.RenewContended
+	movingWait = grant.ContendedRenewInterval
 )
 
 // movingCluster has pools of one server each, so that a gap in any shard shows. Its control VMs start one by one.
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -179,7 +179,7 @@
 			}
 		}
 		t.Logf("longest wait %v", longest)
-		require.LessOrEqual(t, longest, grant.RenewContended+100*time.Millisecond+50*time.Millisecond)
+		require.LessOrEqual(t, longest, grant.ContendedRenewInterval+100*time.Millisecond+50*time.Millisecond)
 		c.close()
 	})
 }
