--- a/internal/capacity/probes.go
+++ b/internal/capacity/probes.go
@@ -162,7 +162,7 @@
 	g := grant.NewGrantor(nil, rand.New(rand.NewPCG(1, 2)), epoch)
 	g.Configure(1, set)
 	for shard := range uint32(grant.Shards) {
-		g.Renewed(shard, 1, true, epoch, epoch)
+		g.LeaseRenewed(shard, 1, true, epoch, epoch)
 	}
 	for i := range servers {
 		g.Announce(announcement(i), epoch)
--- a/internal/capacity/probes_acquire.go
+++ b/internal/capacity/probes_acquire.go
@@ -71,7 +71,7 @@
 	e.round++
 	e.now = e.now.Add(askEvery)
 	for shard := range uint32(grant.Shards) {
-		e.grantor.Renewed(shard, 1, true, e.now, e.now)
+		e.grantor.LeaseRenewed(shard, 1, true, e.now, e.now)
 	}
 	if e.now.Sub(e.announced) < grant.AnnounceInterval(replicas) {
 		return
--- a/pkg/grant/bench_test.go
+++ b/pkg/grant/bench_test.go
@@ -66,7 +66,7 @@
 // renew renews all leases and repeats all announcements.
 func (f *cluster) renew() {
 	for shard := range uint32(Shards) {
-		f.grantors[f.owner(shard)].Renewed(shard, 1, true, f.now, f.now)
+		f.grantors[f.owner(shard)].LeaseRenewed(shard, 1, true, f.now, f.now)
 	}
 	for i := range f.replicas {
 		name := fmt.Sprint("replica-", i, ".pool.example")
--- a/pkg/grant/grantor.go
+++ b/pkg/grant/grantor.go
@@ -145,11 +145,11 @@
 	s.domainOut = out
 }
 
-// Renewed records that the lease of a shard was acquired or renewed with the fence, by a request sent at asked. With a
+// LeaseRenewed records that the lease of a shard was acquired or renewed with the fence, by a request sent at asked. With a
 // higher fence than the last one, another VM may have made grants in between, so that the shard starts with a quiet
 // period unless an imported state matches the fence. first is true when the lease never had a holder before. A late
 // answer with a lower fence is ignored.
-func (g *Grantor) Renewed(shard uint32, fence uint64, first bool, asked, now time.Time) {
+func (g *Grantor) LeaseRenewed(shard uint32, fence uint64, first bool, asked, now time.Time) {
 	st := &g.shards[shard]
 	if fence < st.fence {
 		return
--- a/pkg/grant/grantor_test.go
+++ b/pkg/grant/grantor_test.go
@@ -52,7 +52,7 @@
 // lease renews the leases of all shards for g, as requested now.
 func (b *fixture) lease(g *Grantor, fence uint64) {
 	for shard := range uint32(Shards) {
-		g.Renewed(shard, fence, fence == 1, b.now, b.now)
+		g.LeaseRenewed(shard, fence, fence == 1, b.now, b.now)
 	}
 }
 
@@ -420,7 +420,7 @@
 	next := b.successor()
 	next.Import(b.Export(ShardOf("s1"), b.now), b.now)
 	require.Zero(t, b.granted(y, b.Grantor, 4), "nothing is granted in a shard after its export")
-	next.Renewed(ShardOf("s1"), 2, false, b.now, b.now)
+	next.LeaseRenewed(ShardOf("s1"), 2, false, b.now, b.now)
 	require.Equal(t, 3, b.granted(x, next, 4))
 	require.Equal(t, 1, b.granted(y, next, 4))
 }
@@ -435,7 +435,7 @@
 	b.Announce(announcementOfS1(nil), b.now)
 	next := b.successor()
 	next.Import(b.Export(ShardOf("s1"), b.now), b.now)
-	next.Renewed(ShardOf("s1"), 2, false, b.now, b.now)
+	next.LeaseRenewed(ShardOf("s1"), 2, false, b.now, b.now)
 	require.Zero(t, b.granted(x, next, 4), "the last announcement was sent before the server began to leave")
 }
 
@@ -445,7 +445,7 @@
 	b.warm(x)
 	next := b.successor()
 	next.Import(b.Export(ShardOf("s1"), b.now), b.now)
-	next.Renewed(ShardOf("s1"), 3, false, b.now, b.now)
+	next.LeaseRenewed(ShardOf("s1"), 3, false, b.now, b.now)
 	require.Zero(t, b.granted(x, next, 4))
 }
 
@@ -463,7 +463,7 @@
 	late := x.Ask("next", anyShard, []Demand{{Pool: poolName}}, b.now)
 	late.Demands[0].Uses = nil
 	next.Import(b.Export(ShardOf("s1"), b.now), b.now)
-	next.Renewed(ShardOf("s1"), 2, false, b.now, b.now)
+	next.LeaseRenewed(ShardOf("s1"), 2, false, b.now, b.now)
 	_, err := next.Acquire(early, b.now)
 	require.ErrorIs(t, err, ErrStale)
 	_, err = next.Acquire(late, b.now)
@@ -487,6 +487,6 @@
 	b := newFixture(t)
 	b.lease(b.Grantor, 2)
 	b.Lost(0)
-	b.Renewed(0, 1, true, b.now, b.now)
+	b.LeaseRenewed(0, 1, true, b.now, b.now)
 	require.False(t, b.Holds(0, b.now))
 }
--- a/pkg/grant/handover_test.go
+++ b/pkg/grant/handover_test.go
@@ -17,7 +17,7 @@
 	b.ask(x, b.Grantor, 3)
 	state := b.Export(ShardOf("s1"), b.now)
 	next := b.successor()
-	next.Renewed(ShardOf("s1"), 2, false, b.now, b.now)
+	next.LeaseRenewed(ShardOf("s1"), 2, false, b.now, b.now)
 	require.Zero(t, b.ask(y, next, 1), "grants of the former grantor may still be valid")
 	require.True(t, next.WaitsForQuietPeriod(ShardOf("s1"), b.now))
 	b.now = b.now.Add(10 * time.Millisecond)
@@ -33,7 +33,7 @@
 	b.warm(x)
 	state := b.Export(ShardOf("s1"), b.now)
 	next := b.successor()
-	next.Renewed(ShardOf("s1"), 3, false, b.now, b.now)
+	next.LeaseRenewed(ShardOf("s1"), 3, false, b.now, b.now)
 	next.Import(state, b.now)
 	require.True(t, next.WaitsForQuietPeriod(ShardOf("s1"), b.now))
 	require.Zero(t, b.granted(x, next, 4))
@@ -52,7 +52,7 @@
 	restarted.Incarnation = "2"
 	next.Announce(restarted, b.now)
 	next.Import(state, b.now)
-	next.Renewed(ShardOf("s1"), 2, false, b.now, b.now)
+	next.LeaseRenewed(ShardOf("s1"), 2, false, b.now, b.now)
 	require.Equal(t, "2", next.servers["s1"].ann.Incarnation)
 	require.Zero(t, b.granted(y, next, 4), "x holds the only unit of a cold server")
 }
@@ -65,7 +65,7 @@
 	b.ask(x, b.Grantor, 1)
 	next := b.successor()
 	next.Import(b.Export(ShardOf("s1"), b.now), b.now)
-	next.Renewed(ShardOf("s1"), 2, false, b.now, b.now)
+	next.LeaseRenewed(ShardOf("s1"), 2, false, b.now, b.now)
 	b.ask(x, next, 1)
 	b.ask(x, next, 0)
 	b.ask(x, next, 0)
@@ -88,6 +88,6 @@
 	b.Announce(announcementOfS1(nil), b.now)
 	require.Zero(t, b.granted(x, b.Grantor, 4))
 	next.Import(b.Export(ShardOf("s1"), b.now), b.now)
-	next.Renewed(ShardOf("s1"), 2, false, b.now, b.now)
+	next.LeaseRenewed(ShardOf("s1"), 2, false, b.now, b.now)
 	require.Equal(t, 1, b.granted(x, next, 4))
 }
--- a/pkg/grant/simulation_test.go
+++ b/pkg/grant/simulation_test.go
@@ -232,7 +232,7 @@
 					return
 				}
 				g.Configure(version, v.set)
-				g.Renewed(shard, r.Fence, r.Fence == 1, asked, w.now)
+				g.LeaseRenewed(shard, r.Fence, r.Fence == 1, asked, w.now)
 			})
 		})
 	}
--- a/pkg/grantservice/keep.go
+++ b/pkg/grantservice/keep.go
@@ -151,7 +151,7 @@
 			s.grantor.Lost(shard)
 			continue
 		}
-		s.grantor.Renewed(shard, r.Fence, r.Fence == 1, asked, now)
+		s.grantor.LeaseRenewed(shard, r.Fence, r.Fence == 1, asked, now)
 	}
 	s.takeLimits()
 }
