--- a/pkg/grant/grantor.go
+++ b/pkg/grant/grantor.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// Lost records that the lease of a shard is no longer held.
-func (g *Grantor) Lost(shard uint32) {
+// LeaseLost records that the lease of a shard is no longer held.
+func (g *Grantor) LeaseLost(shard uint32) {
 	g.shards[shard].until = time.Time{}
 }
 
--- a/pkg/grant/grantor_test.go
+++ b/pkg/grant/grantor_test.go
@@ -486,7 +486,7 @@
 func TestLateAnswerForFormerLeaseIsIgnored(t *testing.T) {
 	b := newFixture(t)
 	b.lease(b.Grantor, 2)
-	b.Lost(0)
+	b.LeaseLost(0)
 	b.LeaseRenewed(0, 1, true, b.now, b.now)
 	require.False(t, b.Holds(0, b.now))
 }
--- a/pkg/grant/handover.go
+++ b/pkg/grant/handover.go
@@ -22,7 +22,7 @@
 func (g *Grantor) Export(shard uint32, now time.Time) *daisyhatchv1.ShardState {
 	st := &g.shards[shard]
 	settled := g.Settled(shard, now)
-	g.Lost(shard)
+	g.LeaseLost(shard)
 	st.exported = true
 	if !settled {
 		return nil
--- a/pkg/grant/simulation_test.go
+++ b/pkg/grant/simulation_test.go
@@ -228,7 +228,7 @@
 					return
 				}
 				if !r.Held {
-					g.Lost(shard)
+					g.LeaseLost(shard)
 					return
 				}
 				g.Configure(version, v.set)
--- a/pkg/grantservice/keep.go
+++ b/pkg/grantservice/keep.go
@@ -148,7 +148,7 @@
 	for i, shard := range shards {
 		r := results[i]
 		if !r.GetHeld() || r.GetConfigurationVersion() > version {
-			s.grantor.Lost(shard)
+			s.grantor.LeaseLost(shard)
 			continue
 		}
 		s.grantor.LeaseRenewed(shard, r.Fence, r.Fence == 1, asked, now)
