--- a/internal/capacity/probes_wire.go
+++ b/internal/capacity/probes_wire.go
@@ -133,7 +133,7 @@
 	w, err := newWire(true, func() (string, http.Handler) {
 		return standin.PathAnnounce, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
-			_, _ = fmt.Fprintf(w, `{"renew_ms":%d}`, grant.AnnounceEvery.Milliseconds()) // the client reports a lost answer
+			_, _ = fmt.Fprintf(w, `{"renew_ms":%d}`, grant.BaseAnnounceInterval.Milliseconds()) // the client reports a lost answer
 		})
 	})
 	if err != nil {
--- a/pkg/grant/numbers_test.go
+++ b/pkg/grant/numbers_test.go
@@ -94,7 +94,7 @@
 }
 
 func TestAnnounceTTLCoversLostAnnouncement(t *testing.T) {
-	require.Equal(t, AnnounceEvery, AnnounceInterval(60))
+	require.Equal(t, BaseAnnounceInterval, AnnounceInterval(60))
 	require.Less(t, 2*AnnounceInterval(2800), AnnounceTTL)
 }
 
--- a/pkg/grant/shard.go
+++ b/pkg/grant/shard.go
@@ -28,9 +28,9 @@
 	// QuietPeriod is how long a new grantor waits before its first grant: the lifetime of the last grant that the
 	// former grantor can have made. The lease passes to another VM only once it has ended for its former holder.
 	QuietPeriod = TTL
-	// AnnounceEvery is the interval between announcements of a backend server when there are fewer than
+	// BaseAnnounceInterval is the interval between announcements of a backend server when there are fewer than
 	// slowAnnounceThreshold.
-	AnnounceEvery = time.Second
+	BaseAnnounceInterval = time.Second
 	// AnnounceTTL is how long a server may get work after its last announcement.
 	AnnounceTTL = 5 * time.Second
 )
@@ -41,9 +41,9 @@
 // AnnounceInterval returns the interval between announcements of a backend server when there are that many servers.
 func AnnounceInterval(servers int) time.Duration {
 	if servers >= slowAnnounceThreshold {
-		return 2 * AnnounceEvery
+		return 2 * BaseAnnounceInterval
 	}
-	return AnnounceEvery
+	return BaseAnnounceInterval
 }
 
 // ShardOf returns the shard of a backend server, 0 to Shards-1.
--- a/pkg/grant/simulation_test.go
+++ b/pkg/grant/simulation_test.go
@@ -285,7 +285,7 @@
 	if w.now.Before(s.announceAt) {
 		return
 	}
-	s.announceAt = w.now.Add(AnnounceEvery)
+	s.announceAt = w.now.Add(BaseAnnounceInterval)
 	a := &daisyhatchv1.Announcement{
 		Server: s.name, Incarnation: fmt.Sprint(s.incarnation), Pool: poolName, FailureDomain: s.domain, Leaving: !s.leaving.IsZero(),
 		Load: &daisyhatchv1.Load{Running: uint32(len(s.running)), Cold: false},
--- a/pkg/grantservice/service.go
+++ b/pkg/grantservice/service.go
@@ -108,7 +108,7 @@
 	defer s.mu.Unlock()
 	s.configure()
 	s.grantor.Announce(a, time.Now())
-	return connect.NewResponse(&daisyhatchv1.AnnounceResponse{RenewMs: grant.AnnounceEvery.Milliseconds()}), nil
+	return connect.NewResponse(&daisyhatchv1.AnnounceResponse{RenewMs: grant.BaseAnnounceInterval.Milliseconds()}), nil
 }
 
 // Acquire implements GrantService.
--- a/pkg/slots/ask.go
+++ b/pkg/slots/ask.go
@@ -249,14 +249,14 @@
 	address, ok := s.opts.Grantors(grant.ShardOf(a.GetServer()))
 	if !ok {
 		return apierr.New(http.StatusServiceUnavailable, apierr.NotReady,
-			"no control VM grants this server's work yet").After(grant.AnnounceEvery)
+			"no control VM grants this server's work yet").After(grant.BaseAnnounceInterval)
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	_, err := s.client(address).Announce(ctx, connect.NewRequest(&daisyhatchv1.AnnounceRequest{Announcement: a}))
 	if err != nil {
 		return apierr.New(http.StatusServiceUnavailable, apierr.NotReady,
-			"the announcement could not be passed on").After(grant.AnnounceEvery).Wrap(err)
+			"the announcement could not be passed on").After(grant.BaseAnnounceInterval).Wrap(err)
 	}
 	return nil
 }
--- a/pkg/slots/cluster_test.go
+++ b/pkg/slots/cluster_test.go
@@ -206,7 +206,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(grant.AnnounceEvery):
+		case <-time.After(grant.BaseAnnounceInterval):
 		}
 	}
 }
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -150,7 +150,7 @@
 		stop := c.workers(8, 20*time.Millisecond)
 		time.Sleep(15 * time.Second)
 		c.kill("c1")
-		time.Sleep(grant.LeaseTTL + grant.QuietPeriod + 2*grant.AnnounceEvery + 2*time.Second)
+		time.Sleep(grant.LeaseTTL + grant.QuietPeriod + 2*grant.BaseAnnounceInterval + 2*time.Second)
 		back := time.Now()
 		time.Sleep(3 * time.Second)
 		for s, at := range c.starts().last {
