--- a/internal/capacity/probes_acquire.go
+++ b/internal/capacity/probes_acquire.go
@@ -107,8 +107,8 @@
 
 // work ends the calls in flight in a pool and starts one on each server held.
 func (e *exchange) work(pool string) {
-	var held []*grant.Held
-	e.holder.Each(pool, e.now, func(g *grant.Held) { held = append(held, g) })
+	var held []*grant.HeldGrant
+	e.holder.Each(pool, e.now, func(g *grant.HeldGrant) { held = append(held, g) })
 	for _, g := range held {
 		for range g.InFlight {
 			e.holder.Done(g.Server.GetServer(), g.Server.GetIncarnation(), grant.Outcome{OK: true, FirstToken: 200 * time.Millisecond}, e.now)
--- a/pkg/grant/grantor_test.go
+++ b/pkg/grant/grantor_test.go
@@ -347,7 +347,7 @@
 		}
 		for i, h := range holders {
 			b.ask(h, b.Grantor, 4)
-			h.Usable(poolName, false, b.now, func(*Held) { turns[i]++ })
+			h.Usable(poolName, false, b.now, func(*HeldGrant) { turns[i]++ })
 		}
 		sum := 0
 		for _, s := range b.servers {
@@ -391,7 +391,7 @@
 		require.NoError(t, err)
 		require.True(t, y.Apply("g", out, b.now))
 		ok := false
-		y.Usable(poolName, true, b.now, func(*Held) { ok = true })
+		y.Usable(poolName, true, b.now, func(*HeldGrant) { ok = true })
 		return ok
 	}
 	require.False(t, alone(1), "x has a call in flight")
--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -28,8 +28,8 @@
 	Spread int
 }
 
-// Held is a holder's grant of units of one backend server, with its calls there.
-type Held struct {
+// HeldGrant is a holder's grant of units of one backend server, with its calls there.
+type HeldGrant struct {
 	Server    *daisyhatchv1.Announcement
 	Units     int
 	InFlight  int
@@ -75,9 +75,9 @@
 	check    *invariant.Recorder
 	sequence uint64
 	pending  map[string]pendingRequest
-	held     map[string]*Held
+	held     map[string]*HeldGrant
 	// byPool has the entries of held by pool, oldest first.
-	byPool map[string][]*Held
+	byPool map[string][]*HeldGrant
 	// sessions are the current sessions by grantor.
 	sessions map[string]*session
 	// notices records what servers said about their availability in answers to this VM.
@@ -96,8 +96,8 @@
 		id:       id,
 		check:    check,
 		pending:  make(map[string]pendingRequest),
-		held:     make(map[string]*Held),
-		byPool:   make(map[string][]*Held),
+		held:     make(map[string]*HeldGrant),
+		byPool:   make(map[string][]*HeldGrant),
 		sessions: make(map[string]*session),
 		notices:  holdoff.NewTracker(),
 	}
@@ -165,7 +165,7 @@
 	}
 }
 
-func (g *Held) report(now time.Time) *daisyhatchv1.GrantUse {
+func (g *HeldGrant) report(now time.Time) *daisyhatchv1.GrantUse {
 	u := &daisyhatchv1.GrantUse{
 		Server:       g.Server.Server,
 		Incarnation:  g.Server.Incarnation,
@@ -243,7 +243,7 @@
 
 // entry returns the entry for a grant's server, updated with the grant's announcement. It returns nil when the grant
 // leaves out an announcement that the holder doesn't have.
-func (h *Holder) entry(m *daisyhatchv1.Grant) *Held {
+func (h *Holder) entry(m *daisyhatchv1.Grant) *HeldGrant {
 	g := h.held[m.Server.Server]
 	if g != nil && g.revision == m.Revision && m.Revision != 0 {
 		return g
@@ -252,7 +252,7 @@
 		return nil
 	}
 	if g == nil {
-		g = &Held{}
+		g = &HeldGrant{}
 		h.held[m.Server.Server] = g
 		h.addToPool(m.Server.Pool, g)
 	}
@@ -268,25 +268,25 @@
 }
 
 // clearReported removes what the grantor has received by the answered report.
-func (g *Held) clearReported() {
+func (g *HeldGrant) clearReported() {
 	g.firstToken = slices.Delete(g.firstToken, 0, min(g.reported.tokens, len(g.firstToken)))
 	g.broken = g.broken && !g.reported.broken
 	g.reported = reportedUse{}
 }
 
 // dropIfExpired removes an entry without calls in flight and unreported failure, endedRetention after it expired.
-func (h *Holder) dropIfExpired(name string, g *Held, now time.Time) {
+func (h *Holder) dropIfExpired(name string, g *HeldGrant, now time.Time) {
 	if g.InFlight == 0 && !g.broken && !now.Before(g.Until.Add(endedRetention)) {
 		delete(h.held, name)
 		h.removeFromPool(g)
 	}
 }
 
-func (h *Holder) addToPool(pool string, g *Held) {
+func (h *Holder) addToPool(pool string, g *HeldGrant) {
 	h.byPool[pool] = append(h.byPool[pool], g)
 }
 
-func (h *Holder) removeFromPool(g *Held) {
+func (h *Holder) removeFromPool(g *HeldGrant) {
 	pool := g.Server.Pool
 	l := h.byPool[pool]
 	if i := slices.Index(l, g); i >= 0 {
@@ -310,16 +310,16 @@
 }
 
 // Get returns a copy of the entry of a server, and false when there is none.
-func (h *Holder) Get(server string) (Held, bool) {
+func (h *Holder) Get(server string) (HeldGrant, bool) {
 	g := h.held[server]
 	if g == nil {
-		return Held{}, false
+		return HeldGrant{}, false
 	}
 	return *g, true
 }
 
 // Usable calls f for each server of the pool on which one more call may start now, oldest entry first.
-func (h *Holder) Usable(pool string, exclusive bool, now time.Time, f func(*Held)) {
+func (h *Holder) Usable(pool string, exclusive bool, now time.Time, f func(*HeldGrant)) {
 	for _, g := range h.byPool[pool] {
 		if g.Exclusive == exclusive && h.usable(g, now) {
 			f(g)
@@ -329,7 +329,7 @@
 
 // UsableFrom calls f for each server of the pool on which one more call may start now, in the order of entries from index
 // start on and wrapping around, until f returns false.
-func (h *Holder) UsableFrom(pool string, start int, exclusive bool, now time.Time, f func(*Held) bool) {
+func (h *Holder) UsableFrom(pool string, start int, exclusive bool, now time.Time, f func(*HeldGrant) bool) {
 	l := h.byPool[pool]
 	for i := range l {
 		g := l[(start+i)%len(l)]
@@ -343,7 +343,7 @@
 func (h *Holder) Len(pool string) int { return len(h.byPool[pool]) }
 
 // Find returns the entry of a server on which one more call may start now; nil when there is none.
-func (h *Holder) Find(server string, exclusive bool, now time.Time) *Held {
+func (h *Holder) Find(server string, exclusive bool, now time.Time) *HeldGrant {
 	g := h.held[server]
 	if g == nil || g.Exclusive != exclusive || !h.usable(g, now) {
 		return nil
@@ -352,7 +352,7 @@
 }
 
 // Each calls f for each server of the pool with a valid grant and that accepts calls, oldest entry first.
-func (h *Holder) Each(pool string, now time.Time, f func(*Held)) {
+func (h *Holder) Each(pool string, now time.Time, f func(*HeldGrant)) {
 	for _, g := range h.byPool[pool] {
 		if g.Units > 0 && now.Before(g.Until) && h.accepts(g, now) {
 			f(g)
@@ -360,12 +360,12 @@
 	}
 }
 
-func (h *Holder) usable(g *Held, now time.Time) bool {
+func (h *Holder) usable(g *HeldGrant, now time.Time) bool {
 	return g.InFlight < g.Units && now.Before(g.Until) && h.accepts(g, now)
 }
 
 // accepts reports whether a server accepts calls, as far as recorded by Noticed.
-func (h *Holder) accepts(g *Held, now time.Time) bool {
+func (h *Holder) accepts(g *HeldGrant, now time.Time) bool {
 	return h.notices.Available(g.Server.Server, g.Server.Incarnation, now)
 }
 
--- a/pkg/grant/session.go
+++ b/pkg/grant/session.go
@@ -42,7 +42,7 @@
 }
 
 // useNumber replaces, in a report to the grantor of g, the fields that the announcement's number stands for.
-func (g *Held) useNumber(u *daisyhatchv1.GrantUse) {
+func (g *HeldGrant) useNumber(u *daisyhatchv1.GrantUse) {
 	if g.number == 0 {
 		return
 	}
@@ -89,7 +89,7 @@
 		}
 		s.unpackSupplies(r)
 	}
-	held := make(map[uint32]*Held, len(r.Grants))
+	held := make(map[uint32]*HeldGrant, len(r.Grants))
 	for _, g := range h.held {
 		if g.grantor == grantor && g.number != 0 {
 			held[g.number] = g
@@ -122,7 +122,7 @@
 
 // resolveGrant fills in the server, the lifetime and the last load report of a grant m from the holder's entry g. With
 // a nil g, because the holder has dropped the announcement, m gets an empty server.
-func resolveGrant(m *daisyhatchv1.Grant, g *Held, ttlMs int64, now time.Time) {
+func resolveGrant(m *daisyhatchv1.Grant, g *HeldGrant, ttlMs int64, now time.Time) {
 	if m.TtlMs == 0 {
 		m.TtlMs = ttlMs
 	}
--- a/pkg/grant/simulation_test.go
+++ b/pkg/grant/simulation_test.go
@@ -360,8 +360,8 @@
 	if w.rng.IntN(3) > 0 {
 		return
 	}
-	var usable []*Held
-	h.Usable(poolName, false, w.now, func(g *Held) { usable = append(usable, g) })
+	var usable []*HeldGrant
+	h.Usable(poolName, false, w.now, func(g *HeldGrant) { usable = append(usable, g) })
 	for _, g := range usable {
 		if w.rng.IntN(2) == 0 || !h.Start(g.Server.Server, w.now) {
 			continue
--- a/pkg/slots/cache.go
+++ b/pkg/slots/cache.go
@@ -13,7 +13,7 @@
 	defer s.mu.Unlock()
 	var out []engine.Target
 	for name := range s.pools {
-		s.holder.Listed(name, func(g *grant.Held) {
+		s.holder.Listed(name, func(g *grant.HeldGrant) {
 			if slices.Contains(g.Server.Capabilities, engine.CapabilityCacheEvents) {
 				out = append(out, target(g.Server))
 			}
--- a/pkg/slots/pool.go
+++ b/pkg/slots/pool.go
@@ -50,7 +50,7 @@
 	// supplies is what each grantor last said of the pool.
 	supplies map[string]supply
 	// held and candidates are reused from one decision to the next.
-	held       []*grant.Held
+	held       []*grant.HeldGrant
 	candidates []routing.Candidate
 }
 
@@ -112,7 +112,7 @@
 	}
 	avoided := false
 	for range 2 {
-		h.UsableFrom(p.name, rng.IntN(n), r.Alone, now, func(g *grant.Held) bool {
+		h.UsableFrom(p.name, rng.IntN(n), r.Alone, now, func(g *grant.HeldGrant) bool {
 			if !serves(g.Server, r) {
 				return true
 			}
@@ -125,7 +125,7 @@
 		})
 	}
 	if len(p.held) == 0 && avoided && !p.others(h, r, now) {
-		h.UsableFrom(p.name, rng.IntN(n), r.Alone, now, func(g *grant.Held) bool {
+		h.UsableFrom(p.name, rng.IntN(n), r.Alone, now, func(g *grant.HeldGrant) bool {
 			if serves(g.Server, r) {
 				p.add(g)
 			}
@@ -142,13 +142,13 @@
 // others reports whether a server that the call doesn't avoid is held, with or without room.
 func (p *pool) others(h *grant.Holder, r *dispatch.SlotRequest, now time.Time) bool {
 	found := false
-	h.Each(p.name, now, func(g *grant.Held) {
+	h.Each(p.name, now, func(g *grant.HeldGrant) {
 		found = found || serves(g.Server, r) && !slices.Contains(r.Avoid, g.Server.Server)
 	})
 	return found
 }
 
-func (p *pool) add(g *grant.Held) {
+func (p *pool) add(g *grant.HeldGrant) {
 	p.held = append(p.held, g)
 	p.candidates = append(p.candidates, routing.Candidate{
 		Server: g.Server.Server, FailureDomain: g.Server.FailureDomain,
@@ -215,7 +215,7 @@
 	}
 	parts := p.parts(grantors, want, now)
 	missing := want
-	h.Each(p.name, now, func(g *grant.Held) { missing -= g.Units })
+	h.Each(p.name, now, func(g *grant.HeldGrant) { missing -= g.Units })
 	out := make([]grant.Demand, len(grantors))
 	for i, g := range grantors {
 		out[i] = grant.Demand{Pool: p.name, Units: parts[i], Exclusive: alone}
@@ -282,7 +282,7 @@
 // has enough for all, that is what it wants: units that it lacks just then are on their way.
 func (p *pool) room(h *grant.Holder, now time.Time) int {
 	units := 0
-	h.Each(p.name, now, func(g *grant.Held) {
+	h.Each(p.name, now, func(g *grant.HeldGrant) {
 		if !g.Exclusive {
 			units += g.Units
 		}
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -219,7 +219,7 @@
 		return true
 	}
 	room := false
-	s.holder.Usable(p.name, first.Value.request.Alone, now, func(*grant.Held) { room = true })
+	s.holder.Usable(p.name, first.Value.request.Alone, now, func(*grant.HeldGrant) { room = true })
 	if !room {
 		return false
 	}
