--- a/pkg/grant/grantor.go
+++ b/pkg/grant/grantor.go
@@ -21,7 +21,7 @@
 	crashColdPeriod = 2 * time.Second
 	// avoidPeriod is how long a holder that reported such a failure gets no units of the server.
 	avoidPeriod = 2 * time.Second
-	// reservePeriod is how long a reservation for an exclusive grant lasts unless the holder asks again.
+	// reservePeriod is how long a server stays reserved for an exclusive grant after the holder's last request for one.
 	reservePeriod = 5 * time.Second
 	// defaultDeadline is the least value of Grantor.maxDeadline, also used before there is a configuration.
 	defaultDeadline = 5 * time.Second
@@ -60,7 +60,7 @@
 	// exported is true once the state was handed over; nothing is granted under this fence after that.
 	exported bool
 	// takenOverAt is when the lease was taken over from another VM. It is zero when the lease had no former holder, or
-	// when the imported state has KeepsLimits set.
+	// when the imported state includes the organisations' limits (KeepsLimits).
 	takenOverAt time.Time
 	// quietUntil is when the last grant of a former grantor has expired; nothing is granted before.
 	quietUntil time.Time
@@ -145,10 +145,10 @@
 	s.domainOut = out
 }
 
-// LeaseRenewed records that the lease of a shard was acquired or renewed with the fence, by a request sent at asked. With a
-// higher fence than the last one, another VM may have made grants in between, so that the shard starts with a quiet
-// period unless an imported state matches the fence. first is true when the lease never had a holder before. A late
-// answer with a lower fence is ignored.
+// LeaseRenewed records that the lease of a shard was acquired or renewed with the fence, by a request sent at asked.
+// With a higher fence than the last one, another VM may have made grants in between, so that the shard starts with a
+// quiet period unless an imported state matches the fence. first is true when the lease never had a holder before. A
+// late answer with a lower fence is ignored.
 func (g *Grantor) LeaseRenewed(shard uint32, fence uint64, first bool, asked, now time.Time) {
 	st := &g.shards[shard]
 	if fence < st.fence {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Holds reports whether the VM holds the lease of the shard.
+// Holds reports whether the VM holds the lease of the shard and has not handed the shard over.
 func (g *Grantor) Holds(shard uint32, now time.Time) bool {
 	return now.Before(g.shards[shard].until)
 }
--- a/pkg/grant/grantor_test.go
+++ b/pkg/grant/grantor_test.go
@@ -385,7 +385,7 @@
 	x, y := b.holder("x"), b.holder("y")
 	b.warm(x)
 	require.True(t, x.Start("s1", b.now))
-	alone := func(want int) bool {
+	hasExclusive := func(want int) bool {
 		r := y.Ask("g", anyShard, []Demand{{Pool: poolName, Exclusive: want}}, b.now)
 		out, err := b.Acquire(r, b.now)
 		require.NoError(t, err)
@@ -394,18 +394,18 @@
 		y.Usable(poolName, true, b.now, func(*HeldGrant) { ok = true })
 		return ok
 	}
-	require.False(t, alone(1), "x has a call in flight")
+	require.False(t, hasExclusive(1), "x has a call in flight")
 	require.Zero(t, b.ask(x, b.Grantor, 4), "the server is reserved")
-	require.False(t, alone(1))
+	require.False(t, hasExclusive(1))
 	x.Done("s1", "1", Outcome{OK: true}, b.now)
 	b.ask(x, b.Grantor, 4)
-	require.True(t, alone(1))
-	require.True(t, alone(1), "the grant is renewed while it is not used yet")
+	require.True(t, hasExclusive(1))
+	require.True(t, hasExclusive(1), "the grant is renewed while it is not used yet")
 	require.True(t, y.Start("s1", b.now))
-	require.False(t, alone(1))
+	require.False(t, hasExclusive(1))
 	require.Zero(t, b.ask(x, b.Grantor, 4))
 	y.Done("s1", "1", Outcome{OK: true}, b.now)
-	require.False(t, alone(0))
+	require.False(t, hasExclusive(0))
 	require.Equal(t, 4, b.ask(x, b.Grantor, 4))
 }
 
--- a/pkg/grant/handover.go
+++ b/pkg/grant/handover.go
@@ -106,7 +106,8 @@
 	return false
 }
 
-// WaitsForQuietPeriod reports whether the shard is held but in its quiet period, since grants of a former grantor may still be valid.
+// WaitsForQuietPeriod reports whether the shard is held but in its quiet period, since grants of a former grantor may
+// still be valid.
 func (g *Grantor) WaitsForQuietPeriod(shard uint32, now time.Time) bool {
 	return g.Holds(shard, now) && g.inQuietPeriod(shard, now)
 }
--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -267,14 +267,15 @@
 	return g
 }
 
-// clearReported removes what the grantor has received by the answered report.
+// clearReported clears the first-token times and the failure that the answered report contained.
 func (g *HeldGrant) clearReported() {
 	g.firstToken = slices.Delete(g.firstToken, 0, min(g.reported.tokens, len(g.firstToken)))
 	g.broken = g.broken && !g.reported.broken
 	g.reported = reportedUse{}
 }
 
-// dropIfExpired removes an entry without calls in flight and unreported failure, endedRetention after it expired.
+// dropIfExpired removes an entry with neither calls in flight nor an unreported failure, endedRetention after it
+// expired.
 func (h *Holder) dropIfExpired(name string, g *HeldGrant, now time.Time) {
 	if g.InFlight == 0 && !g.broken && !now.Before(g.Until.Add(endedRetention)) {
 		delete(h.held, name)
@@ -327,8 +328,8 @@
 	}
 }
 
-// UsableFrom calls f for each server of the pool on which one more call may start now, in the order of entries from index
-// start on and wrapping around, until f returns false.
+// UsableFrom calls f for each server of the pool on which one more call may start now, in the order of entries from
+// index start on and wrapping around, until f returns false.
 func (h *Holder) UsableFrom(pool string, start int, exclusive bool, now time.Time, f func(*HeldGrant) bool) {
 	l := h.byPool[pool]
 	for i := range l {
@@ -351,7 +352,7 @@
 	return g
 }
 
-// Each calls f for each server of the pool with a valid grant and that accepts calls, oldest entry first.
+// Each calls f for each server of the pool that has a valid grant and accepts calls, oldest entry first.
 func (h *Holder) Each(pool string, now time.Time, f func(*HeldGrant)) {
 	for _, g := range h.byPool[pool] {
 		if g.Units > 0 && now.Before(g.Until) && h.accepts(g, now) {
@@ -364,12 +365,13 @@
 	return g.InFlight < g.Units && now.Before(g.Until) && h.accepts(g, now)
 }
 
-// accepts reports whether a server accepts calls, as far as recorded by Noticed.
+// accepts reports whether a server accepts calls, as far as recorded by RecordNotice.
 func (h *Holder) accepts(g *HeldGrant, now time.Time) bool {
 	return h.notices.Available(g.Server.Server, g.Server.Incarnation, now)
 }
 
-// RecordNotice records a notice that an incarnation of a server gave in an answer, and reports whether it changes anything.
+// RecordNotice records a notice that an incarnation of a server gave in an answer, and reports whether it changes
+// anything.
 func (h *Holder) RecordNotice(server, incarnation string, n holdoff.Notice, now time.Time) bool {
 	return h.notices.Record(server, incarnation, n, now)
 }
@@ -429,7 +431,7 @@
 	}
 }
 
-// Release gives up all units of a grantor and returns the request that tells it so.
+// Release gives up all units of a grantor, ends the session and returns a request that tells the grantor.
 func (h *Holder) Release(grantor string, owns func(shard uint32) bool, now time.Time) *daisyhatchv1.AcquireRequest {
 	for name, g := range h.held {
 		if g.grantor == grantor || owns(ShardOf(name)) {
--- a/pkg/grant/numbers.go
+++ b/pkg/grant/numbers.go
@@ -9,7 +9,7 @@
 )
 
 // ErrUnknownNumber means that a request refers to a session or a number that the grantor doesn't know. The holder is to
-// call Forget and send its next request without a session.
+// call EndSession and send its next request without a session.
 var ErrUnknownNumber = errors.New("grant: unknown session or number")
 
 // maxNumbersPerServer is how many announcements of one server, the latest ones, have valid numbers at a time.
--- a/pkg/grant/server.go
+++ b/pkg/grant/server.go
@@ -20,7 +20,7 @@
 	static   *daisyhatchv1.Announcement
 	named    *daisyhatchv1.Announcement
 	revision uint32
-	// numbers are those of the latest announcements, the current one last; see numbers.add.
+	// numbers are those of the latest announcements, the current one last; see maxNumbersPerServer.
 	numbers []uint32
 	// heard is when the last announcement arrived.
 	heard  time.Time
@@ -52,7 +52,7 @@
 	// mentioned is true when the holder's last request reported on the server.
 	mentioned bool
 	exclusive bool
-	// completed is the holder's last total of successful calls on that incarnation.
+	// completed is the holder's last reported total of successful calls on incarnation.
 	incarnation string
 	completed   int
 	// minUnits is the least number of units that counts as charged until minUnitsUntil, after a hand-over.
--- a/pkg/grant/session.go
+++ b/pkg/grant/session.go
@@ -20,8 +20,8 @@
 	names   map[uint32]string
 }
 
-// EndSession ends the session with a grantor, so that the next request carries names. It is to be called when the grantor
-// refused a request with ErrUnknownNumber.
+// EndSession ends the session with a grantor, so that the next request carries names. It is to be called when the
+// grantor refused a request with ErrUnknownNumber.
 func (h *Holder) EndSession(grantor string) { delete(h.sessions, grantor) }
 
 // identify sets the sender of a request: the session, or the holder's identity without one.
--- a/pkg/grant/shard.go
+++ b/pkg/grant/shard.go
@@ -22,8 +22,8 @@
 	TTL = 1500 * time.Millisecond
 	// RenewInterval is the interval between the requests of one holder, and between renewals of a lease.
 	RenewInterval = 500 * time.Millisecond
-	// ContendedRenewInterval is the interval between a holder's requests while the demand for a pool exceeds its budget, so
-	// that units pass between holders sooner.
+	// ContendedRenewInterval is the interval between a holder's requests while the demand for a pool exceeds its
+	// budget, so that units pass between holders sooner.
 	ContendedRenewInterval = 250 * time.Millisecond
 	// QuietPeriod is how long a new grantor waits before its first grant: the lifetime of the last grant that the
 	// former grantor can have made. The lease passes to another VM only once it has ended for its former holder.
--- a/pkg/slots/ask.go
+++ b/pkg/slots/ask.go
@@ -151,7 +151,7 @@
 	return paced(d, grantors)
 }
 
-// decay forgets what was not used in so many periods of grant.Renew.
+// decay forgets what was not used in so many periods of grant.RenewInterval.
 func (s *Slots) decay(periods int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/slots/pool.go
+++ b/pkg/slots/pool.go
@@ -16,7 +16,7 @@
 
 // Demand and prediction.
 const (
-	// peakDecay is the share of the peak demand kept after each period of grant.Renew.
+	// peakDecay is the share of the peak demand kept after each period of grant.RenewInterval.
 	peakDecay = 0.8
 	// headroom is the share of the peak demand that is asked for on top.
 	headroom = 0.25
