--- a/pkg/grant/allocate.go
+++ b/pkg/grant/allocate.go
@@ -343,7 +343,7 @@
 		if c.incarnation != s.ann.Incarnation {
 			c.incarnation, c.completed = s.ann.Incarnation, 0
 		}
-		ok := a.g.check.Assert(s.charged <= max(t.budget, before), "grant-sum",
+		ok := a.g.invariants.Assert(s.charged <= max(t.budget, before), "grant-sum",
 			"server %s: %d charged of %d", s.name, s.charged, t.budget)
 		if !ok {
 			continue
@@ -384,7 +384,7 @@
 			g.Load = nil
 		}
 	case c.revision == s.revision:
-		g.Server = s.named
+		g.Server = s.nameOnly
 	}
 	return g
 }
--- a/pkg/grant/grantor.go
+++ b/pkg/grant/grantor.go
@@ -34,9 +34,9 @@
 // Grantor divides the concurrency budgets of backend servers between holders, for the shards whose leases its VM holds.
 // It is not safe for concurrent use.
 type Grantor struct {
-	check   *invariant.Recorder
-	version uint64
-	cfg     *config.Set
+	invariants *invariant.Recorder
+	version    uint64
+	cfg        *config.Set
 	// maxDeadline is the longest deadline of any pipeline or service, and so the longest time that a call may run.
 	maxDeadline time.Duration
 	shards      [Shards]shardState
@@ -55,8 +55,8 @@
 
 // shardState is the state of one shard's lease.
 type shardState struct {
-	fence uint64
-	until time.Time
+	fence      uint64
+	leaseUntil time.Time
 	// exported is true once the state was handed over; nothing is granted under this fence after that.
 	exported bool
 	// takenOverAt is when the lease was taken over from another VM. It is zero when the lease had no former holder, or
@@ -98,7 +98,7 @@
 func NewGrantor(check *invariant.Recorder, rng *rand.Rand, now time.Time) *Grantor {
 	return &Grantor{
 		startedAt:   now,
-		check:       check,
+		invariants:  check,
 		maxDeadline: defaultDeadline,
 		servers:     make(map[string]*server),
 		pools:       make(map[string]*pool),
@@ -168,14 +168,14 @@
 			st.recoveredAt = st.quietUntil.Add(g.maxDeadline)
 		}
 	}
-	if until := asked.Add(LeaseTTL); until.After(st.until) && !st.exported {
-		st.until = until
+	if until := asked.Add(LeaseTTL); until.After(st.leaseUntil) && !st.exported {
+		st.leaseUntil = until
 	}
 }
 
 // LeaseLost records that the lease of a shard is no longer held.
 func (g *Grantor) LeaseLost(shard uint32) {
-	g.shards[shard].until = time.Time{}
+	g.shards[shard].leaseUntil = time.Time{}
 }
 
 // resetShard clears the charges and warm-up state of a shard's servers, since another grantor may have changed them.
@@ -197,7 +197,7 @@
 
 // Holds reports whether the VM holds the lease of the shard and has not handed the shard over.
 func (g *Grantor) Holds(shard uint32, now time.Time) bool {
-	return now.Before(g.shards[shard].until)
+	return now.Before(g.shards[shard].leaseUntil)
 }
 
 // Tenure returns the fence of the shard's lease, and whether the lease was taken over from another VM less than TTL
@@ -210,7 +210,7 @@
 // mayGrant reports whether the VM may make grants in the shard: it holds the lease and the quiet period is over.
 func (g *Grantor) mayGrant(shard uint32, now time.Time) bool {
 	st := &g.shards[shard]
-	return now.Before(st.until) && !now.Before(st.quietUntil)
+	return now.Before(st.leaseUntil) && !now.Before(st.quietUntil)
 }
 
 func (g *Grantor) pool(name string) *pool {
--- a/pkg/grant/grantor_test.go
+++ b/pkg/grant/grantor_test.go
@@ -18,16 +18,16 @@
 type fixture struct {
 	*testing.T
 	*Grantor
-	check   *invariant.Recorder
-	now     time.Time
-	version uint64
+	invariants *invariant.Recorder
+	now        time.Time
+	version    uint64
 }
 
 func newFixture(t *testing.T) *fixture {
-	b := &fixture{T: t, check: invariant.NewRecorder(logr.Discard()), now: time.Unix(1000, 0)}
+	b := &fixture{T: t, invariants: invariant.NewRecorder(logr.Discard()), now: time.Unix(1000, 0)}
 	b.Grantor = b.successor()
 	t.Cleanup(func() {
-		_, broken := b.check.Violations()
+		_, broken := b.invariants.Violations()
 		require.Zero(t, broken)
 	})
 	return b
@@ -35,7 +35,7 @@
 
 // successor returns another Grantor with the same clock and configuration, which holds no lease.
 func (b *fixture) successor() *Grantor {
-	g := NewGrantor(b.check, rand.New(rand.NewPCG(1, 2)), b.now)
+	g := NewGrantor(b.invariants, rand.New(rand.NewPCG(1, 2)), b.now)
 	g.Configure(b.version+1, testConfig(false))
 	return g
 }
@@ -57,7 +57,7 @@
 }
 
 func (b *fixture) holder(vm string) *Holder {
-	return NewHolder(Identity{VM: vm, Incarnation: "1", FailureDomain: "a"}, b.check)
+	return NewHolder(Identity{VM: vm, Incarnation: "1", FailureDomain: "a"}, b.invariants)
 }
 
 func announcementOfS1(load *daisyhatchv1.Load) *daisyhatchv1.Announcement {
--- a/pkg/grant/handover.go
+++ b/pkg/grant/handover.go
@@ -13,8 +13,8 @@
 
 // importedState is the state of a shard that another VM handed over, and when it arrived.
 type importedState struct {
-	state *daisyhatchv1.ShardState
-	at    time.Time
+	state      *daisyhatchv1.ShardState
+	receivedAt time.Time
 }
 
 // Export stops granting in a shard, for as long as the lease keeps its fence, and returns the state that lets a
@@ -99,7 +99,7 @@
 // ExpectsLease reports whether a state was imported within expectLeasePeriod whose lease is not acquired yet.
 func (g *Grantor) ExpectsLease(now time.Time) bool {
 	for _, h := range g.imported {
-		if h != nil && now.Sub(h.at) < expectLeasePeriod {
+		if h != nil && now.Sub(h.receivedAt) < expectLeasePeriod {
 			return true
 		}
 	}
@@ -120,7 +120,7 @@
 		return false
 	}
 	for _, m := range h.state.Servers {
-		g.importServer(m, h.at, now)
+		g.importServer(m, h.receivedAt, now)
 	}
 	if h.state.KeepsLimits {
 		g.shards[shard].takenOverAt = time.Time{}
@@ -136,10 +136,10 @@
 	return out
 }
 
-// importServer adds one server of an imported state, as it was at the time at. A newer incarnation that announced
+// importServer adds one server of an imported state, as it was at importedAt. A newer incarnation that announced
 // itself to this VM meanwhile is kept.
-func (g *Grantor) importServer(m *daisyhatchv1.ServerState, at, now time.Time) {
-	heard := at.Add(-time.Duration(m.HeardMsAgo) * time.Millisecond)
+func (g *Grantor) importServer(m *daisyhatchv1.ServerState, importedAt, now time.Time) {
+	heard := importedAt.Add(-time.Duration(m.HeardMsAgo) * time.Millisecond)
 	if s := g.servers[m.Announcement.Server]; s == nil || s.sameOrOlder(m.Announcement.Incarnation, heard) {
 		g.importAnnouncement(m, heard)
 	}
--- a/pkg/grant/handover_test.go
+++ b/pkg/grant/handover_test.go
@@ -81,7 +81,7 @@
 	x := b.holder("x")
 	b.warm(x)
 	b.Configure(2, testConfig(true))
-	next := NewGrantor(b.check, rand.New(rand.NewPCG(1, 2)), b.now)
+	next := NewGrantor(b.invariants, rand.New(rand.NewPCG(1, 2)), b.now)
 	next.Configure(3, testConfig(false))
 	b.now = b.now.Add(2 * TTL)
 	b.lease(b.Grantor, 1)
--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -71,11 +71,11 @@
 
 // Holder keeps the grants of one entry VM. It is not safe for concurrent use.
 type Holder struct {
-	id       Identity
-	check    *invariant.Recorder
-	sequence uint64
-	pending  map[string]pendingRequest
-	held     map[string]*HeldGrant
+	id         Identity
+	invariants *invariant.Recorder
+	sequence   uint64
+	pending    map[string]pendingRequest
+	held       map[string]*HeldGrant
 	// byPool has the entries of held by pool, oldest first.
 	byPool map[string][]*HeldGrant
 	// sessions are the current sessions by grantor.
@@ -93,13 +93,13 @@
 // NewHolder returns a Holder without grants.
 func NewHolder(id Identity, check *invariant.Recorder) *Holder {
 	return &Holder{
-		id:       id,
-		check:    check,
-		pending:  make(map[string]pendingRequest),
-		held:     make(map[string]*HeldGrant),
-		byPool:   make(map[string][]*HeldGrant),
-		sessions: make(map[string]*session),
-		notices:  holdoff.NewTracker(),
+		id:         id,
+		invariants: check,
+		pending:    make(map[string]pendingRequest),
+		held:       make(map[string]*HeldGrant),
+		byPool:     make(map[string][]*HeldGrant),
+		sessions:   make(map[string]*session),
+		notices:    holdoff.NewTracker(),
 	}
 }
 
@@ -383,7 +383,7 @@
 		return false
 	}
 	g.InFlight++
-	return h.check.Assert(g.InFlight <= g.Units, "grant-use", "server %s: %d in flight of %d", server, g.InFlight, g.Units)
+	return h.invariants.Assert(g.InFlight <= g.Units, "grant-use", "server %s: %d in flight of %d", server, g.InFlight, g.Units)
 }
 
 // Valid reports whether a call that was started may still be sent to the incarnation: the grant may have expired or
@@ -408,7 +408,7 @@
 // again. The outcome of a call on an earlier incarnation is ignored.
 func (h *Holder) Done(server, incarnation string, o Outcome, now time.Time) {
 	g := h.held[server]
-	if g == nil || !h.check.Assert(g.InFlight > 0, "grant-done", "server %s: no call in flight", server) {
+	if g == nil || !h.invariants.Assert(g.InFlight > 0, "grant-done", "server %s: no call in flight", server) {
 		return
 	}
 	g.InFlight--
--- a/pkg/grant/server.go
+++ b/pkg/grant/server.go
@@ -15,10 +15,10 @@
 	name  string
 	shard uint32
 	ann   *daisyhatchv1.Announcement
-	// static is the announcement without its load and leaving state, named has only the name, and revision is a hash of
-	// static.
+	// static is the announcement without its load and leaving state, nameOnly has only the name, and revision is a hash
+	// of static.
 	static   *daisyhatchv1.Announcement
-	named    *daisyhatchv1.Announcement
+	nameOnly *daisyhatchv1.Announcement
 	revision uint32
 	// numbers are those of the latest announcements, the current one last; see maxNumbersPerServer.
 	numbers []uint32
@@ -118,7 +118,7 @@
 		ChecksFence: a.ChecksFence, Capabilities: a.Capabilities, Models: a.Models, Adapters: a.Adapters,
 		Version: a.Version, Role: a.Role,
 	}
-	s.named = &daisyhatchv1.Announcement{Server: a.Server}
+	s.nameOnly = &daisyhatchv1.Announcement{Server: a.Server}
 	s.revision = revisionOf(s.static)
 }
 
--- a/pkg/grant/simulation_actions_test.go
+++ b/pkg/grant/simulation_actions_test.go
@@ -22,9 +22,9 @@
 			h.want = 4
 		}
 		t.Repeat(w.actions())
-		broken, _ := w.check.Violations()
+		broken, _ := w.invariants.Violations()
 		require.Empty(t, broken)
-		started += w.started
+		started += w.startedCalls
 		elapsed += w.now.Sub(time.Unix(1000, 0))
 	})
 	t.Logf("%d calls reached servers, %v of virtual time", started, elapsed)
@@ -52,7 +52,7 @@
 		"kill holder": func(t *rapid.T) {
 			h := w.holders[pick(t, simHolders)]
 			h.incarnation++
-			h.Holder = NewHolder(Identity{VM: h.name, Incarnation: fmt.Sprint(h.incarnation), FailureDomain: "a"}, w.check)
+			h.Holder = NewHolder(Identity{VM: h.name, Incarnation: fmt.Sprint(h.incarnation), FailureDomain: "a"}, w.invariants)
 			h.unsent = nil
 		},
 		"change want": func(t *rapid.T) {
--- a/pkg/grant/simulation_test.go
+++ b/pkg/grant/simulation_test.go
@@ -43,17 +43,17 @@
 // simulation is a small system of real Grantors and Holders over a faulty network in virtual time, with a record of the
 // calls that run on each backend server.
 type simulation struct {
-	t        *rapid.T
-	rng      *rand.Rand
-	now      time.Time
-	check    *invariant.Recorder
-	versions []version
-	leases   *lease.Table
-	grantors []*simGrantor
-	holders  []*simHolder
-	servers  []*simServer
-	messages []message
-	started  int
+	t            *rapid.T
+	rng          *rand.Rand
+	now          time.Time
+	invariants   *invariant.Recorder
+	versions     []version
+	leases       *lease.Table
+	grantors     []*simGrantor
+	holders      []*simHolder
+	servers      []*simServer
+	messages     []message
+	startedCalls int
 }
 
 type version struct {
@@ -120,7 +120,7 @@
 	seed := rapid.Uint64().Draw(t, "seed")
 	w := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0),
-		check: invariant.NewRecorder(logr.Discard()), leases: lease.New(),
+		invariants: invariant.NewRecorder(logr.Discard()), leases: lease.New(),
 	}
 	w.versions = []version{{at: w.now, set: simConfig(4, "")}}
 	for i := range simGrantors {
@@ -130,7 +130,7 @@
 	}
 	for i := range simHolders {
 		h := &simHolder{name: fmt.Sprintf("e%d", i)}
-		h.Holder = NewHolder(Identity{VM: h.name, Incarnation: "0", FailureDomain: "a"}, w.check)
+		h.Holder = NewHolder(Identity{VM: h.name, Incarnation: "0", FailureDomain: "a"}, w.invariants)
 		w.holders = append(w.holders, h)
 	}
 	for i := range simServers {
@@ -156,7 +156,7 @@
 
 func (w *simulation) restart(g *simGrantor) {
 	g.incarnation++
-	g.Grantor = NewGrantor(w.check, w.rng, w.now)
+	g.Grantor = NewGrantor(w.invariants, w.rng, w.now)
 	g.observer = lease.NewObserver()
 	g.renewAt = w.now
 }
@@ -393,7 +393,7 @@
 			w.finish(c, Outcome{Neutral: true})
 		default:
 			c.server.running[c] = true
-			w.started++
+			w.startedCalls++
 			w.checkStart(c.server)
 		}
 	}
--- a/pkg/grant/status.go
+++ b/pkg/grant/status.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		st := &g.shards[s.shard]
-		out = append(out, HeldServer{Announcement: s.ann, Fence: st.fence, Until: st.until})
+		out = append(out, HeldServer{Announcement: s.ann, Fence: st.fence, Until: st.leaseUntil})
 	}
 	slices.SortFunc(out, func(a, b HeldServer) int {
 		return cmp.Compare(a.Announcement.GetServer(), b.Announcement.GetServer())
