--- a/pkg/grant/allocate.go
+++ b/pkg/grant/allocate.go
@@ -344,7 +344,7 @@
 			c.incarnation, c.completed = s.ann.Incarnation, 0
 		}
 		ok := a.g.invariants.Assert(s.charged <= max(t.budget, before), "grant-sum",
-			"server %s: %d charged of %d", s.name, s.charged, t.budget)
+			"server %s: %d units charged, budget %d", s.name, s.charged, t.budget)
 		if !ok {
 			continue
 		}
--- a/pkg/grant/grantor.go
+++ b/pkg/grant/grantor.go
@@ -95,10 +95,10 @@
 }
 
 // NewGrantor returns a Grantor that holds no lease. rng breaks ties between servers and provides session IDs.
-func NewGrantor(check *invariant.Recorder, rng *rand.Rand, now time.Time) *Grantor {
+func NewGrantor(invariants *invariant.Recorder, rng *rand.Rand, now time.Time) *Grantor {
 	return &Grantor{
 		startedAt:   now,
-		invariants:  check,
+		invariants:  invariants,
 		maxDeadline: defaultDeadline,
 		servers:     make(map[string]*server),
 		pools:       make(map[string]*pool),
@@ -256,7 +256,7 @@
 	}
 	h := g.holder(r)
 	if r.Sequence <= h.sequence {
-		return nil, fmt.Errorf("%w: %d after %d from %s", ErrStale, r.Sequence, h.sequence, r.Vm)
+		return nil, fmt.Errorf("%w: sequence %d after %d from %s", ErrStale, r.Sequence, h.sequence, r.Vm)
 	}
 	h.sequence, h.lastRequestAt = r.Sequence, now
 	if r.Session == 0 {
--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -91,10 +91,10 @@
 }
 
 // NewHolder returns a Holder without grants.
-func NewHolder(id Identity, check *invariant.Recorder) *Holder {
+func NewHolder(id Identity, invariants *invariant.Recorder) *Holder {
 	return &Holder{
 		id:         id,
-		invariants: check,
+		invariants: invariants,
 		pending:    make(map[string]pendingRequest),
 		held:       make(map[string]*HeldGrant),
 		byPool:     make(map[string][]*HeldGrant),
@@ -383,7 +383,7 @@
 		return false
 	}
 	g.InFlight++
-	return h.invariants.Assert(g.InFlight <= g.Units, "grant-use", "server %s: %d in flight of %d", server, g.InFlight, g.Units)
+	return h.invariants.Assert(g.InFlight <= g.Units, "grant-use", "server %s: %d calls in flight, %d units held", server, g.InFlight, g.Units)
 }
 
 // Valid reports whether a call that was started may still be sent to the incarnation: the grant may have expired or
--- a/pkg/grant/numbers.go
+++ b/pkg/grant/numbers.go
@@ -104,7 +104,7 @@
 // unpackDemands turns the compact lists of a request back into demands.
 func (n *numbers) unpackDemands(r *daisyhatchv1.AcquireRequest) error {
 	if len(r.Wants) != len(r.Pools) {
-		return fmt.Errorf("%w: %d wants of %d pools", ErrUnknownNumber, len(r.Wants), len(r.Pools))
+		return fmt.Errorf("%w: %d wants for %d pools", ErrUnknownNumber, len(r.Wants), len(r.Pools))
 	}
 	demands := make(map[string]*daisyhatchv1.PoolDemand, len(r.Pools))
 	list := make([]*daisyhatchv1.PoolDemand, 0, len(r.Pools))
