--- a/pkg/executor/attempt.go
+++ b/pkg/executor/attempt.go
@@ -16,130 +16,129 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// Timeouts of what surrounds an attempt.
+// Timeouts of the calls made around an attempt: the probe of a failed server, the cancel call and the crash report.
 const (
-	probeTimeout  = 300 * time.Millisecond
-	cancelTimeout = time.Second
-	shareTimeout  = 2 * time.Second
+	probeTimeout       = 300 * time.Millisecond
+	cancelTimeout      = time.Second
+	crashReportTimeout = 2 * time.Second
 )
 
-// contentJSON is the content type of JSON bodies.
 const contentJSON = "application/json"
 
 var (
 	droppedAnswers = metrics.NewCounter("daisyhatch_executor_dropped_answers_total")
-	invalidSlots   = metrics.NewCounter("daisyhatch_executor_slots_expired_before_send_total")
+	expiredSlots   = metrics.NewCounter("daisyhatch_executor_slots_expired_before_send_total")
 	crashesSeen    = metrics.NewCounter("daisyhatch_executor_crashes_total")
 	probesAlive    = metrics.NewCounter(`daisyhatch_executor_probes_total{result="alive"}`)
 	probesDead     = metrics.NewCounter(`daisyhatch_executor_probes_total{result="dead"}`)
 )
 
-// errSlotExpired fails an attempt whose slot ran out before anything was sent.
+// errSlotExpired fails an attempt whose slot expired before anything was sent.
 var errSlotExpired = errors.New("executor: slot expired before sending")
 
-// Soloist is implemented by quarantines that let a suspect run on one VM at a time only.
+// Soloist is implemented by quarantines that let only one VM at a time run a suspect request.
 type Soloist interface {
-	// Solo returns an *apierr.Error with NotRun while another VM runs the fingerprint. The release func is
-	// called once, with true when the run crashed its server.
+	// Solo acquires the exclusive right to run the fingerprint. It returns an *apierr.Error with NotRun while
+	// another VM holds it. The caller calls release once, with crashed true when the request crashed its server.
 	Solo(ctx context.Context, fingerprint uint64, deadline time.Time) (release func(crashed bool), err error)
 }
 
-// try is one attempt in the making. It runs in a goroutine of its own.
-type try struct {
-	r    *run
+// attemptRunner runs one attempt at a stage, in its own goroutine.
+type attemptRunner struct {
+	r    *runner
 	id   int
 	spec attemptSpec
 	body []byte
-	prev gathered
+	prev stageOutputs
 	ctx  context.Context
 }
 
-// attempt starts an attempt.
-func (r *run) attempt(id int, spec attemptSpec) {
-	ctx, cancel := context.WithDeadline(r.base, spec.cut)
+// startAttempt starts an attempt in a new goroutine.
+func (r *runner) startAttempt(id int, spec attemptSpec) {
+	ctx, cancel := context.WithDeadline(r.attemptBase, spec.cutoff)
 	r.cancels = append(r.cancels, cancel)
-	t := &try{r: r, id: id, spec: spec, ctx: ctx}
-	body, err := r.prepare(spec.stage)
+	t := &attemptRunner{r: r, id: id, spec: spec, ctx: ctx}
+	body, err := r.prepareBody(spec.stage)
 	t.body = body
 	t.prev = r.prior
 	r.e.background.Add(1)
-	r.open.Add(1)
+	r.openAttempts.Add(1)
 	go func() {
 		defer r.e.background.Done()
-		defer r.open.Done()
+		defer r.openAttempts.Done()
 		defer cancel()
 		if err != nil {
-			t.end(outcome{failure: &engine.Error{Kind: engine.Rejected, Err: err}}, 0)
+			t.finish(outcome{failure: &engine.Error{Kind: engine.Rejected, Err: err}}, 0)
 			return
 		}
 		t.run()
 	}()
 }
 
-// run acquires a slot, makes the call and tells the machine how it ended.
-func (t *try) run() {
-	if err := t.solo(); err != nil {
-		t.end(outcome{slotErr: slotError(err)}, 0)
+// run acquires a slot, makes the call and reports the outcome to the machine.
+func (t *attemptRunner) run() {
+	if err := t.acquireExclusive(); err != nil {
+		t.finish(outcome{slotErr: slotError(err)}, 0)
 		return
 	}
 	slot, err := t.r.e.opts.Slots.Acquire(t.ctx, t.slotRequest())
 	if err != nil {
-		t.end(outcome{slotErr: slotError(err)}, 0)
+		t.finish(outcome{slotErr: slotError(err)}, 0)
 		return
 	}
-	// A wait for a slot may be long, and others may have seen the request crash a server meanwhile.
-	if o, ok := t.unsuspected(); !ok {
+	// The wait for the slot may have been long; another VM may have seen the request crash a server meanwhile.
+	if o, ok := t.checkQuarantine(); !ok {
 		slot.Done(dispatch.Report{Abandoned: true})
-		t.end(o, 0)
+		t.finish(o, 0)
 		return
 	}
-	defer t.limit()()
-	if p, ok := t.partner(slot); ok {
-		t.handOver(p)
+	defer t.applyStageTimeout()()
+	if p, ok := t.acquirePartner(slot); ok {
+		t.runHandover(p)
 		return
 	}
 	target := slot.Target()
-	t.r.post(func(now time.Time) []action { return t.r.m.acquired(now, t.id, target.Server) })
+	t.r.post(func(now time.Time) []action { return t.r.m.onSlotAcquired(now, t.id, target.Server) })
 	if !slot.Valid() || t.ctx.Err() != nil {
-		invalidSlots.Inc()
+		expiredSlots.Inc()
 		failure := &engine.Error{Kind: engine.Refused, Server: target.Server, Err: errSlotExpired}
-		// Nothing was sent, so this says nothing about the server.
+		// Nothing was sent, so the report must not count against the server.
 		slot.Done(dispatch.Report{Abandoned: true})
-		t.end(outcome{failure: failure}, 0)
+		t.finish(outcome{failure: failure}, 0)
 		return
 	}
-	t.dispatch(slot, target)
+	t.callUnderSlot(slot, target)
 }
 
-// limit begins the stage's own timeout, which runs from the slot on: a wait for room says nothing about the server.
-// The returned func ends it.
-func (t *try) limit() (end func()) {
+// applyStageTimeout starts the stage's own timeout. It is called once the slot is held, because the wait for a slot
+// says nothing about the server. The returned func releases the timer.
+func (t *attemptRunner) applyStageTimeout() (end func()) {
 	timeout := t.r.req.Plan.Stages[t.spec.stage].Spec.Timeout
 	by := time.Now().Add(timeout)
-	if timeout <= 0 || !by.Before(t.spec.cut) {
+	if timeout <= 0 || !by.Before(t.spec.cutoff) {
 		return func() {}
 	}
-	t.spec.cut = by
+	t.spec.cutoff = by
 	t.ctx, end = context.WithDeadline(t.ctx, by)
 	return end
 }
 
-// dispatch makes the call under a slot.
-func (t *try) dispatch(slot dispatch.Slot, target engine.Target) {
-	o, took := t.underSlot(slot, work{id: t.attemptID(), run: func() outcome { return t.call(target) }})
+// callUnderSlot makes the call while holding a slot and reports the outcome.
+func (t *attemptRunner) callUnderSlot(slot dispatch.Slot, target engine.Target) {
+	o, took := t.runUnderSlot(slot, serverCall{id: t.attemptID(), run: func() outcome { return t.call(target) }})
 	if o.failure == nil {
-		t.learn(o, took)
+		t.recordLatency(o, took)
 	}
-	t.end(o, took)
+	t.finish(o, took)
 }
 
-// abandoned reports whether the attempt ended since its request gave it up.
-func (t *try) abandoned(o outcome) bool {
+// wasCancelled reports whether the attempt ended because its request cancelled it.
+func (t *attemptRunner) wasCancelled(o outcome) bool {
 	return o.failure != nil && o.failure.Kind == engine.Canceled
 }
 
-// call makes the call and checks that its answer is whole and its own.
-func (t *try) call(target engine.Target) outcome {
+// call makes the call and checks that the answer is complete and carries this attempt's ID.
+func (t *attemptRunner) call(target engine.Target) outcome {
 	call := t.engineCall()
 	if t.spec.streamed {
 		return t.stream(target, call)
@@ -150,7 +149,7 @@
 	}
 	if answer.AttemptID != call.AttemptID {
 		droppedAnswers.Inc()
-		return outcome{failure: &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errAnswer}}
+		return outcome{failure: &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errBadAnswer}}
 	}
 	if err := checkAnswer(call.Operation, t.prev, answer.Body); err != nil {
 		return outcome{failure: &engine.Error{Kind: engine.Failed, Server: target.Server, Sent: true, Err: err}}
@@ -158,8 +157,8 @@
 	return outcome{answer: answer}
 }
 
-// stream makes a streaming call and hands its tokens on.
-func (t *try) stream(target engine.Target, call engine.Call) outcome {
+// stream makes a streaming call and passes each token to the machine.
+func (t *attemptRunner) stream(target engine.Target, call engine.Call) outcome {
 	began := time.Now()
 	s, err := t.r.e.opts.Engine.Stream(t.ctx, target, call)
 	if err != nil {
@@ -174,7 +173,7 @@
 		}
 		if ev.AttemptID != call.AttemptID {
 			droppedAnswers.Inc()
-			failure := &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errAnswer}
+			failure := &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errBadAnswer}
 			return outcome{answer: engine.Answer{FirstByte: first}, failure: failure}
 		}
 		if ev.End {
@@ -183,16 +182,17 @@
 		if first == 0 {
 			first = time.Since(began)
 		}
-		if !t.r.post(func(now time.Time) []action { return t.r.m.token(now, t.id, ev) }) {
+		if !t.r.post(func(now time.Time) []action { return t.r.m.onToken(now, t.id, ev) }) {
 			return outcome{failure: &engine.Error{Kind: engine.Canceled, Server: target.Server, Sent: true, Err: context.Canceled}}
 		}
 	}
 }
 
-// attemptID is the correlation ID of the attempt.
-func (t *try) attemptID() string { return t.r.req.ID + "-" + strconv.Itoa(t.id) }
+// attemptID returns the ID that identifies the attempt at the server.
+func (t *attemptRunner) attemptID() string { return t.r.req.ID + "-" + strconv.Itoa(t.id) }
 
-func (t *try) engineCall() engine.Call {
+// engineCall builds the call to the backend server.
+func (t *attemptRunner) engineCall() engine.Call {
 	req := t.r.req
 	spec := req.Plan.Stages[t.spec.stage].Spec
 	call := engine.Call{
@@ -202,13 +202,13 @@
 		Adapter:         spec.Adapter,
 		ContentType:     contentJSON,
 		Body:            t.body,
-		Remaining:       time.Until(t.spec.cut),
+		Remaining:       time.Until(t.spec.cutoff),
 		Priority:        req.Priority,
 		ResumeFrom:      t.spec.resumeFrom,
 		ResumeText:      t.spec.resumeText,
 		ProgressTimeout: spec.ProgressTimeout,
 		MaxAnswer:       spec.MaxAnswer,
-		NewConnection:   !t.r.m.repeat[t.spec.stage],
+		NewConnection:   !t.r.m.repeatable[t.spec.stage],
 	}
 	if call.Operation == engine.HTTP {
 		call.Method = req.Method
@@ -221,7 +221,8 @@
 	return call
 }
 
-func (t *try) slotRequest() dispatch.SlotRequest {
+// slotRequest builds the request for a slot.
+func (t *attemptRunner) slotRequest() dispatch.SlotRequest {
 	req := t.r.req
 	spec := req.Plan.Stages[t.spec.stage].Spec
 	return dispatch.SlotRequest{
@@ -236,46 +237,48 @@
 		Avoid:        t.spec.avoid,
 		Alone:        t.spec.alone,
 		Spare:        t.spec.hedge,
-		Deadline:     t.spec.cut,
+		Deadline:     t.spec.cutoff,
 	}
 }
 
-// prefix names the prompt's prefix blocks for cache affinity.
-func (t *try) prefix() []uint64 {
+// prefix returns the hashes of the prompt's prefix blocks, used for cache affinity; nil for other operations than
+// chat.
+func (t *attemptRunner) prefix() []uint64 {
 	if t.r.req.Plan.operation(t.spec.stage) != engine.Chat {
 		return nil
 	}
 	return engine.PrefixBlocks(t.body)
 }
 
-// solo takes the right to run a suspect, which one VM has at a time. All attempts of the request share it.
-func (t *try) solo() error {
+// acquireExclusive acquires the right to run a suspect request, which only one VM holds at a time. All attempts of
+// the request share it.
+func (t *attemptRunner) acquireExclusive() error {
 	s, ok := t.r.e.opts.Quarantine.(Soloist)
 	if !t.spec.alone || !ok {
 		return nil
 	}
-	t.r.soloMu.Lock()
-	defer t.r.soloMu.Unlock()
-	if t.r.soloRelease != nil {
+	t.r.exclusiveMu.Lock()
+	defer t.r.exclusiveMu.Unlock()
+	if t.r.exclusiveRelease != nil {
 		return nil
 	}
-	release, err := s.Solo(t.ctx, t.r.print, t.r.req.Deadline)
-	t.r.soloRelease = release
+	release, err := s.Solo(t.ctx, t.r.fingerprint, t.r.req.Deadline)
+	t.r.exclusiveRelease = release
 	return err
 }
 
-// releaseSolo gives the right to run a suspect back once no attempt is left.
-func (r *run) releaseSolo() {
-	r.soloMu.Lock()
-	defer r.soloMu.Unlock()
-	if r.soloRelease != nil {
-		r.soloRelease(r.crashedAlone.Load())
+// releaseExclusive gives back the right to run a suspect request. It is called when no attempt is left.
+func (r *runner) releaseExclusive() {
+	r.exclusiveMu.Lock()
+	defer r.exclusiveMu.Unlock()
+	if r.exclusiveRelease != nil {
+		r.exclusiveRelease(r.crashedAlone.Load())
 	}
 }
 
-// failure turns an error of the engine client into its *engine.Error. An attempt that ran into its own timeout
-// found the server silent.
-func (t *try) failure(target engine.Target, err error) *engine.Error {
+// failure converts an error of the engine client into an *engine.Error. An attempt that hit its own timeout is
+// reported as Silent, because the server did not answer in time.
+func (t *attemptRunner) failure(target engine.Target, err error) *engine.Error {
 	var e *engine.Error
 	if !errors.As(err, &e) {
 		e = &engine.Error{Kind: engine.Failed, Server: target.Server, Sent: true, Err: err}
@@ -286,14 +289,15 @@
 	if e.Kind == engine.Canceled && errors.Is(t.ctx.Err(), context.DeadlineExceeded) {
 		c := *e
 		c.Kind = engine.Silent
-		c.Err = fmt.Errorf("no answer in time: %w", e.Err)
+		c.Err = fmt.Errorf("no answer before the attempt's deadline: %w", e.Err)
 		e = &c
 	}
 	return e
 }
 
-// diagnose finds out on a new connection whether a broken or silent connection means that the server is gone.
-func (t *try) diagnose(target engine.Target, f *engine.Error) {
+// diagnose probes the server on a new connection after a broken or silent call, to find out whether the server
+// crashed.
+func (t *attemptRunner) diagnose(target engine.Target, f *engine.Error) {
 	switch f.Kind {
 	case engine.Crashed, engine.Truncated, engine.Silent:
 	default:
@@ -321,8 +325,8 @@
 	}
 }
 
-// shareCrash tells the other VMs of the crash before the machine may retry.
-func (t *try) shareCrash(target engine.Target, o *outcome) {
+// reportCrash reports a crash to the control VMs before the machine may retry the request.
+func (t *attemptRunner) reportCrash(target engine.Target, o *outcome) {
 	crashesSeen.Inc()
 	if t.spec.alone {
 		t.r.crashedAlone.Store(true)
@@ -331,21 +335,21 @@
 	if q == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(t.ctx), shareTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(t.ctx), crashReportTimeout)
 	defer cancel()
-	o.verdict, o.shareErr = q.Crashed(ctx, target, t.r.print)
-	if o.shareErr != nil {
-		t.r.e.opts.Log.Error(o.shareErr, "crash not shared; no retry", "server", target.Server, "request", t.r.req.ID)
+	o.verdict, o.reportErr = q.Crashed(ctx, target, t.r.fingerprint)
+	if o.reportErr != nil {
+		t.r.e.opts.Log.Error(o.reportErr, "crash not reported; the request is not retried", "server", target.Server, "request", t.r.req.ID)
 	}
 }
 
-// stillRuns reports whether the server may go on with a call that failed in this way.
-func stillRuns(k engine.Kind) bool {
+// mayStillRun reports whether the server may still be working on a call that failed in this way.
+func mayStillRun(k engine.Kind) bool {
 	return k == engine.Canceled || k == engine.Silent || k == engine.Truncated || k == engine.Crossed
 }
 
-// cancelAtEngine stops the attempt at the server, in the background.
-func (t *try) cancelAtEngine(target engine.Target, id string) {
+// cancelAtEngine cancels the attempt at the server, in the background.
+func (t *attemptRunner) cancelAtEngine(target engine.Target, id string) {
 	t.r.e.background.Add(1)
 	go func() {
 		defer t.r.e.background.Done()
@@ -357,7 +361,7 @@
 	}()
 }
 
-// slotError turns an error of Slots into what the caller sees: nothing was sent.
+// slotError converts an error from Slots or the quarantine into the caller's error; nothing was sent.
 func slotError(err error) *apierr.Error {
 	return apierr.From(err).WithRun(apierr.NotRun)
 }
--- a/pkg/executor/bench_test.go
+++ b/pkg/executor/bench_test.go
@@ -14,22 +14,22 @@
 	"github.com/daisyhatch/daisyhatch/pkg/executor"
 )
 
-// instant answers every call at once.
-type instant struct{ world }
+// instantBackend grants slots and answers calls without delay.
+type instantBackend struct{ simBackends }
 
-func (*instant) Call(_ context.Context, _ engine.Target, c engine.Call) (engine.Answer, error) {
-	return engine.Answer{AttemptID: c.AttemptID, Status: 200, Body: worldAnswer(c.Operation, "q")}, nil
+func (*instantBackend) Call(_ context.Context, _ engine.Target, c engine.Call) (engine.Answer, error) {
+	return engine.Answer{AttemptID: c.AttemptID, Status: 200, Body: simAnswer(c.Operation, "q")}, nil
 }
 
-func (*instant) Acquire(context.Context, dispatch.SlotRequest) (dispatch.Slot, error) {
+func (*instantBackend) Acquire(context.Context, dispatch.SlotRequest) (dispatch.Slot, error) {
 	return fakeSlot{engine.Target{Server: "s"}}, nil
 }
 
-// BenchmarkExecutor is the executor's own cost for one request.
+// BenchmarkExecutor measures the executor's own overhead for one request.
 func BenchmarkExecutor(b *testing.B) {
 	for _, name := range []string{"chat", "chain", "wide"} {
 		b.Run(name, func(b *testing.B) {
-			w := &instant{}
+			w := &instantBackend{}
 			e := executor.New(executor.Options{Slots: w, Engine: w, Log: discard()})
 			req := executor.Request{ID: "r", Plan: must(executor.PlanPipeline(testSet(), name)), Body: []byte(chatRequest)}
 			b.ReportAllocs()
--- a/pkg/executor/body.go
+++ b/pkg/executor/body.go
@@ -10,26 +10,27 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// errAnswer means that a server's answer does not have the shape of its operation.
-var errAnswer = errors.New("executor: answer of unexpected shape")
+// errBadAnswer means that an answer does not have the format of its operation or carries another attempt's ID.
+var errBadAnswer = errors.New("executor: malformed or mismatched answer")
 
-// input is what is read from the caller's body.
-type input struct {
+// callerInput is what is parsed from the caller's body.
+type callerInput struct {
 	fields   map[string]json.RawMessage
 	messages []json.RawMessage
 	query    string
 }
 
-// readInput reads a caller's body. Any bytes are acceptable.
-func readInput(body []byte) input {
-	var in input
+// parseCallerInput parses a caller's body. Any bytes are accepted: the whole body is the query unless it has
+// messages, "input" or "query".
+func parseCallerInput(body []byte) callerInput {
+	var in callerInput
 	if err := json.Unmarshal(body, &in.fields); err != nil {
 		in.fields = nil
 		in.query = string(body)
 		return in
 	}
 	if raw, ok := in.fields["messages"]; ok && json.Unmarshal(raw, &in.messages) == nil {
-		in.query = lastQuestion(in.messages)
+		in.query = lastUserText(in.messages)
 		return in
 	}
 	for _, key := range []string{"input", "query"} {
@@ -41,8 +42,8 @@
 	return in
 }
 
-// lastQuestion returns the text of the last message with role user.
-func lastQuestion(messages []json.RawMessage) string {
+// lastUserText returns the text of the last message with role user.
+func lastUserText(messages []json.RawMessage) string {
 	for i := len(messages) - 1; i >= 0; i-- {
 		var m struct {
 			Role    string          `json:"role"`
@@ -55,7 +56,7 @@
 	return ""
 }
 
-// contentText returns the text of a message's content: a string, or a list of parts.
+// contentText returns the text of a message's content, which is a string or a list of parts.
 func contentText(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
@@ -77,15 +78,15 @@
 	return strings.Join(texts, "\n")
 }
 
-// gathered is what the stages so far gave to the later ones.
-type gathered struct {
+// stageOutputs collects the outputs of completed stages that later stages take as input.
+type stageOutputs struct {
 	embedding json.RawMessage
 	documents []json.RawMessage
 	texts     []string
 }
 
-// gather adds the answers of one step, in the order of its stages.
-func (g *gathered) gather(op engine.Operation, body []byte) error {
+// add adds the answer of one stage. Answers of one step must be added in the order of its stages.
+func (g *stageOutputs) add(op engine.Operation, body []byte) error {
 	switch op {
 	case engine.Embed:
 		return g.addEmbedding(body)
@@ -94,7 +95,7 @@
 			Documents []json.RawMessage `json:"documents"`
 		}
 		if err := json.Unmarshal(body, &v); err != nil {
-			return fmt.Errorf("%w: retrieve: %w", errAnswer, err)
+			return fmt.Errorf("%w: retrieve: %w", errBadAnswer, err)
 		}
 		g.documents = append(g.documents, v.Documents...)
 	case engine.Rerank:
@@ -110,24 +111,25 @@
 	return nil
 }
 
-func (g *gathered) addEmbedding(body []byte) error {
+// addEmbedding sets the embedding from the answer of an embed stage.
+func (g *stageOutputs) addEmbedding(body []byte) error {
 	var v struct {
 		Data []struct {
 			Embedding json.RawMessage `json:"embedding"`
 		} `json:"data"`
 	}
 	if err := json.Unmarshal(body, &v); err != nil {
-		return fmt.Errorf("%w: embed: %w", errAnswer, err)
+		return fmt.Errorf("%w: embed: %w", errBadAnswer, err)
 	}
 	if len(v.Data) == 0 || len(v.Data[0].Embedding) == 0 {
-		return fmt.Errorf("%w: embed: no embedding", errAnswer)
+		return fmt.Errorf("%w: embed: no embedding", errBadAnswer)
 	}
 	g.embedding = v.Data[0].Embedding
 	return nil
 }
 
-// rerank replaces the documents by the answer's, or orders them by the answer's indexes.
-func (g *gathered) rerank(body []byte) error {
+// rerank replaces the documents by those in the answer, or reorders them by the answer's indexes.
+func (g *stageOutputs) rerank(body []byte) error {
 	var v struct {
 		Documents []json.RawMessage `json:"documents"`
 		Results   []struct {
@@ -135,7 +137,7 @@
 		} `json:"results"`
 	}
 	if err := json.Unmarshal(body, &v); err != nil {
-		return fmt.Errorf("%w: rerank: %w", errAnswer, err)
+		return fmt.Errorf("%w: rerank: %w", errBadAnswer, err)
 	}
 	if v.Documents != nil {
 		g.documents = v.Documents
@@ -144,7 +146,7 @@
 	ordered := make([]json.RawMessage, 0, len(v.Results))
 	for _, r := range v.Results {
 		if r.Index == nil || *r.Index < 0 || *r.Index >= len(g.documents) {
-			return fmt.Errorf("%w: rerank: index out of range", errAnswer)
+			return fmt.Errorf("%w: rerank: index out of range", errBadAnswer)
 		}
 		ordered = append(ordered, g.documents[*r.Index])
 	}
@@ -152,6 +154,7 @@
 	return nil
 }
 
+// chatText returns the message text of a chat completion.
 func chatText(body []byte) (string, error) {
 	var v struct {
 		Choices []struct {
@@ -161,25 +164,26 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal(body, &v); err != nil {
-		return "", fmt.Errorf("%w: chat: %w", errAnswer, err)
+		return "", fmt.Errorf("%w: chat: %w", errBadAnswer, err)
 	}
 	if len(v.Choices) == 0 {
-		return "", fmt.Errorf("%w: chat: no choices", errAnswer)
+		return "", fmt.Errorf("%w: chat: no choices", errBadAnswer)
 	}
 	return contentText(v.Choices[0].Message.Content), nil
 }
 
-// checkAnswer checks that an answer has the shape of its operation.
-func checkAnswer(op engine.Operation, sent gathered, body []byte) error {
+// checkAnswer checks that an answer has the format of its operation. sent holds the outputs that the stage's request
+// was built from.
+func checkAnswer(op engine.Operation, sent stageOutputs, body []byte) error {
 	switch op {
 	case engine.HTTP:
 		return nil
 	case engine.Rerank:
-		g := gathered{documents: sent.documents}
+		g := stageOutputs{documents: sent.documents}
 		return g.rerank(body)
 	default:
-		var g gathered
-		return g.gather(op, body)
+		var g stageOutputs
+		return g.add(op, body)
 	}
 }
 
@@ -194,8 +198,8 @@
 	Documents []json.RawMessage `json:"documents,omitempty"`
 }
 
-// stageBody builds the body for one stage. The shape is told in the package's documentation.
-func stageBody(s PlanStage, caller []byte, in input, g gathered, stream bool) ([]byte, error) {
+// stageBody builds the request body for one stage. The package documentation describes its format.
+func stageBody(s PlanStage, caller []byte, in callerInput, g stageOutputs, stream bool) ([]byte, error) {
 	var v any
 	switch engine.Operation(s.Spec.Operation) {
 	case engine.Embed:
@@ -211,7 +215,7 @@
 	}
 	body, err := json.Marshal(v)
 	if err != nil {
-		return nil, fmt.Errorf("executor: build body of stage %s: %w", s.Spec.Name, err)
+		return nil, fmt.Errorf("executor: build request body of stage %s: %w", s.Spec.Name, err)
 	}
 	return body, nil
 }
@@ -221,8 +225,8 @@
 	Content string `json:"content"`
 }
 
-// chatBody takes the caller's body and puts the model and the gathered documents in.
-func chatBody(s PlanStage, in input, g gathered, stream bool) ([]byte, error) {
+// chatBody builds a chat request from the caller's body, the stage's model and the outputs of earlier stages.
+func chatBody(s PlanStage, in callerInput, g stageOutputs, stream bool) ([]byte, error) {
 	fields := make(map[string]json.RawMessage, len(in.fields)+3)
 	if in.messages != nil {
 		for k, v := range in.fields {
@@ -231,32 +235,32 @@
 	}
 	messages := in.messages
 	if messages == nil {
-		messages = []json.RawMessage{mustRaw(chatMessage{Role: "user", Content: in.query})}
+		messages = []json.RawMessage{marshalRaw(chatMessage{Role: "user", Content: in.query})}
 	}
 	if text := contextText(g); text != "" {
-		system := mustRaw(chatMessage{Role: "system", Content: text})
+		system := marshalRaw(chatMessage{Role: "system", Content: text})
 		messages = append([]json.RawMessage{system}, messages...)
 	}
 	model := s.Spec.Model
 	if s.Spec.Adapter != "" {
 		model = s.Spec.Adapter
 	}
-	fields["model"] = mustRaw(model)
-	fields["messages"] = mustRaw(messages)
-	fields["stream"] = mustRaw(stream)
+	fields["model"] = marshalRaw(model)
+	fields["messages"] = marshalRaw(messages)
+	fields["stream"] = marshalRaw(stream)
 	delete(fields, "stream_options")
 	if stream {
 		fields["stream_options"] = json.RawMessage(`{"include_usage":true}`)
 	}
 	body, err := json.Marshal(fields)
 	if err != nil {
-		return nil, fmt.Errorf("executor: build body of stage %s: %w", s.Spec.Name, err)
+		return nil, fmt.Errorf("executor: build request body of stage %s: %w", s.Spec.Name, err)
 	}
 	return body, nil
 }
 
-// contextText is the system message that carries earlier results.
-func contextText(g gathered) string {
+// contextText returns the text of the system message that carries the outputs of earlier stages.
+func contextText(g stageOutputs) string {
 	var b strings.Builder
 	for i, d := range g.documents {
 		fmt.Fprintf(&b, "[%d] %s\n", i+1, documentText(d))
@@ -268,6 +272,7 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
+// documentText returns a document's text: the string itself, the object's "text", or else the raw JSON.
 func documentText(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
@@ -282,8 +287,8 @@
 	return string(bytes.TrimSpace(raw))
 }
 
-// mustRaw encodes strings, booleans and lists of raw values, which can't fail.
-func mustRaw(v any) json.RawMessage {
+// marshalRaw encodes a value whose encoding cannot fail, such as strings, booleans and lists of raw values.
+func marshalRaw(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return json.RawMessage("null")
@@ -291,17 +296,17 @@
 	return b
 }
 
-// joinAnswers is the answer of a last step of several stages.
+// joinAnswers builds the answer of a last step with several stages.
 func joinAnswers(names []string, bodies [][]byte) []byte {
 	stages := make(map[string]json.RawMessage, len(names))
 	for i, n := range names {
 		if json.Valid(bodies[i]) {
 			stages[n] = bodies[i]
 		} else {
-			stages[n] = mustRaw(string(bodies[i]))
+			stages[n] = marshalRaw(string(bodies[i]))
 		}
 	}
-	return mustRaw(struct {
+	return marshalRaw(struct {
 		Stages map[string]json.RawMessage `json:"stages"`
 	}{stages})
 }
--- a/pkg/executor/claim.go
+++ b/pkg/executor/claim.go
@@ -15,32 +15,32 @@
 	"github.com/daisyhatch/daisyhatch/pkg/suspect"
 )
 
-// Timeouts of the claim ledger.
 const (
-	// claimMargin is the time before the deadline at which the ledger is waited for no longer.
+	// claimMargin is how long before the deadline the wait for the ledger's claim ends.
 	claimMargin = 50 * time.Millisecond
-	// settleTimeout bounds the tries to settle a claim.
+	// settleTimeout bounds the retries to settle a claim.
 	settleTimeout = 10 * time.Second
-	// storeTimeout bounds how long an answer waits for its outcome to be stored.
+	// storeTimeout bounds how long an answer is held back until its outcome is stored.
 	storeTimeout = 500 * time.Millisecond
 )
 
-func (r *run) claimKey() dispatch.ClaimKey {
+// claimKey returns the key under which the ledger holds the request's claim.
+func (r *runner) claimKey() dispatch.ClaimKey {
 	return dispatch.ClaimKey{Organisation: r.req.Organisation, Key: r.req.IdempotencyKey}
 }
 
-// claim claims the request in the ledger.
-func (r *run) claim() {
+// claim claims the request in the ledger. A claim granted after the request has finished is abandoned.
+func (r *runner) claim() {
 	ledger := r.e.opts.Ledger
 	if ledger == nil {
-		r.post(func(now time.Time) []action { return r.m.claimed(now, dispatch.Claim{}, errLedger()) })
+		r.post(func(now time.Time) []action { return r.m.onClaimResult(now, dispatch.Claim{}, errLedgerUnavailable()) })
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.base, r.req.Deadline.Add(-claimMargin))
+	ctx, cancel := context.WithDeadline(r.attemptBase, r.req.Deadline.Add(-claimMargin))
 	defer cancel()
 	hash := suspect.Fingerprint(r.req.Organisation, r.req.Plan.Name, r.req.Body)
 	c, err := ledger.Claim(ctx, r.claimKey(), hash, r.req.Deadline)
-	if r.post(func(now time.Time) []action { return r.m.claimed(now, c, err) }) {
+	if r.post(func(now time.Time) []action { return r.m.onClaimResult(now, c, err) }) {
 		return
 	}
 	if err == nil && c.Granted {
@@ -49,29 +49,29 @@
 }
 
 // settle settles the claim of a finished request.
-func (r *run) settle() {
+func (r *runner) settle() {
 	switch r.m.settle {
 	case settleNothing:
 	case settleComplete:
-		r.store()
+		r.storeOutcome()
 	default:
 		r.settleLater(r.m.settle)
 	}
 }
 
-// store keeps the outcome under the claim before the caller gets the answer. When the ledger takes too long, storing goes
-// on in the background: the answer is whole all the same.
-func (r *run) store() {
-	ctx, cancel := context.WithTimeout(r.base, storeTimeout)
+// storeOutcome stores the outcome under the claim before the caller gets the answer. If the ledger takes longer than
+// storeTimeout, storing continues in the background and the caller gets the answer, which is complete.
+func (r *runner) storeOutcome() {
+	ctx, cancel := context.WithTimeout(r.attemptBase, storeTimeout)
 	defer cancel()
 	if err := r.e.opts.Ledger.Complete(ctx, r.claimKey(), r.outcome()); err != nil {
-		r.e.opts.Log.Error(err, "outcome not stored yet", "request", r.req.ID)
+		r.e.opts.Log.Error(err, "storing the outcome failed; retrying in the background", "request", r.req.ID)
 		r.settleLater(settleComplete)
 	}
 }
 
 // settleLater settles the claim in the background, with retries.
-func (r *run) settleLater(s settlement) {
+func (r *runner) settleLater(s settlement) {
 	var out dispatch.Outcome
 	if s == settleComplete {
 		out = r.outcome()
@@ -80,17 +80,18 @@
 	r.e.background.Add(1)
 	go func() {
 		defer r.e.background.Done()
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(r.base), settleTimeout)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(r.attemptBase), settleTimeout)
 		defer cancel()
 		_, err := backoff.Retry(ctx, func() (struct{}, error) {
 			return struct{}{}, settleOnce(ctx, ledger, key, s, out)
 		}, backoff.WithBackOff(backoff.NewExponentialBackOff()))
 		if err != nil {
-			log.Error(err, "claim not settled; it becomes unknown", "request", id)
+			log.Error(err, "claim not settled; its outcome becomes unknown", "request", id)
 		}
 	}()
 }
 
+// settleOnce makes one attempt to settle a claim.
 func settleOnce(ctx context.Context, l dispatch.Ledger, k dispatch.ClaimKey, s settlement, out dispatch.Outcome) error {
 	switch s {
 	case settleComplete:
@@ -102,10 +103,10 @@
 	}
 }
 
-// outcome is what is stored for resends.
-func (r *run) outcome() dispatch.Outcome {
+// outcome returns the outcome that is stored for resent requests.
+func (r *runner) outcome() dispatch.Outcome {
 	if r.m.streaming {
-		return dispatch.Outcome{Status: http.StatusOK, ContentType: contentJSON, Body: r.streamedBody()}
+		return dispatch.Outcome{Status: http.StatusOK, ContentType: contentJSON, Body: r.streamAsCompletion()}
 	}
 	var res Result
 	res.Status = http.StatusOK
@@ -127,20 +128,20 @@
 	FinishReason string      `json:"finish_reason"`
 }
 
-// streamedBody is a streamed answer as a whole chat completion.
-func (r *run) streamedBody() []byte {
+// streamAsCompletion encodes a streamed answer as one chat completion.
+func (r *runner) streamAsCompletion() []byte {
 	message := chatMessage{Role: "assistant", Content: strings.Join(r.m.tokens, "")}
-	return mustRaw(completionBody{
+	return marshalRaw(completionBody{
 		ID:      r.req.ID,
 		Object:  "chat.completion",
 		Created: time.Now().Unix(),
 		Model:   r.req.Plan.Name,
-		Choices: []completionChoice{{Message: message, FinishReason: r.m.finish}},
+		Choices: []completionChoice{{Message: message, FinishReason: r.m.finishReason}},
 	})
 }
 
-// replayed answers a resend with the stored outcome.
-func (r *run) replayed(res Result, o dispatch.Outcome) (Result, error) {
+// replayed answers a resent request with the stored outcome.
+func (r *runner) replayed(res Result, o dispatch.Outcome) (Result, error) {
 	res.Replayed = true
 	res.OutcomeOmitted = o.BodyOmitted
 	if o.BodyOmitted {
@@ -156,13 +157,13 @@
 	return r.replayStream(res, o.Body)
 }
 
-// replayStream gives a stored chat completion as a stream of one token.
-func (r *run) replayStream(res Result, body []byte) (Result, error) {
+// replayStream delivers a stored chat completion as a stream with a single token.
+func (r *runner) replayStream(res Result, body []byte) (Result, error) {
 	var v completionBody
 	if err := json.Unmarshal(body, &v); err != nil || len(v.Choices) == 0 {
 		return res, nil
 	}
-	r.m.finish = v.Choices[0].FinishReason
+	r.m.finishReason = v.Choices[0].FinishReason
 	r.deliver(engine.Event{Text: v.Choices[0].Message.Content})
 	r.m.tokens = []string{v.Choices[0].Message.Content}
 	res.Body = nil
--- a/pkg/executor/doc.go
+++ b/pkg/executor/doc.go
@@ -1,8 +1,8 @@
 // Package executor runs one request through the stages of its pipeline under one deadline.
 //
-// The decisions are in a pure state machine (machine.go): it takes events and a time, and returns actions. The
-// runner (run.go) carries the actions out: it waits for slots, calls backend servers and feeds what happened
-// back into the machine.
+// All decisions are made by a state machine without I/O (machine.go): it takes events and the current time, and
+// returns actions. The runner (run.go) carries out the actions: it acquires slots, calls backend servers and feeds
+// the results back to the machine.
 //
 // # What each stage receives
 //
@@ -17,11 +17,11 @@
 //	chat       the caller's body with "model" and "stream" replaced  choices[0].message.content
 //	http       the caller's body, method and content type untouched  the whole answer
 //
-// The key "embedding" is left out when no stage before gave one. Documents of parallel stages are joined in the order in
-// which the pipeline lists the stages; a rerank stage replaces all documents. A document is a string or
-// an object with the key "text". A chat stage gets the documents, numbered from 1, as one system message
-// in front of the caller's messages, and the texts of earlier chat stages likewise. Its model is the stage's adapter when
-// it has one, else the stage's model. A body without messages becomes one message with role user.
+// The key "embedding" is omitted when no earlier stage returned one. Documents of parallel stages are concatenated in
+// the order in which the pipeline lists the stages; a rerank stage replaces all documents. A document is a string or
+// an object with the key "text". A chat stage gets the documents, numbered from 1, followed by the texts of earlier
+// chat stages, as one system message before the caller's messages. Its model is the stage's adapter when it has one,
+// else the stage's model. A body without messages becomes one message with role user.
 //
 // The answer of the last step is the answer of the pipeline. When the last step has several stages, it is
 // {"stages": {"<stage name>": answer}}.
--- a/pkg/executor/executor_test.go
+++ b/pkg/executor/executor_test.go
@@ -25,7 +25,7 @@
 
 const chatRequest = `{"model":"reports","messages":[{"role":"user","content":"` + question + `"}]}`
 
-func TestPipelineAnswersWithTheWholeChain(t *testing.T) {
+func TestPipelineRunsAllStages(t *testing.T) {
 	f := newFixture(t, standin.Options{})
 	res, err := f.run(t, f.chain(), executor.Request{Body: []byte(chatRequest)}, nil)
 	require.NoError(t, err)
@@ -35,17 +35,17 @@
 		require.NotEmpty(t, s.Server)
 		require.Positive(t, s.Cost)
 	}
-	sent := f.records()
+	sent := f.bodiesByPath()
 	require.Equal(t, `{"model":"encoder","input":"`+question+`"}`, sent[openai.PathEmbed][0])
 	require.Contains(t, sent[openai.PathRetrieve][0], `"embedding":[`)
 	require.Contains(t, sent[openai.PathChat][0], `[1] document 2 on `+question)
 }
 
-func TestStreamDeliversEachTokenOnceAndEnds(t *testing.T) {
+func TestStreamDeliversEachTokenOnce(t *testing.T) {
 	f := newFixture(t, standin.Options{})
-	f.each(func(s *standin.Server) { s.SetFault(standin.FaultDuplicate, -1) })
-	var sink tokens
-	res, err := f.run(t, f.chat(), executor.Request{Body: []byte(chatRequest), Stream: true}, sink.take)
+	f.forEachServer(func(s *standin.Server) { s.SetFault(standin.FaultDuplicate, -1) })
+	var sink tokenSink
+	res, err := f.run(t, f.chat(), executor.Request{Body: []byte(chatRequest), Stream: true}, sink.receive)
 	require.NoError(t, err)
 	require.True(t, res.Streamed)
 	require.Equal(t, standin.AnswerText(question, 16), sink.text.String())
@@ -58,8 +58,8 @@
 		t.Run(standin.FaultNames[fault], func(t *testing.T) {
 			f := newFixture(t, standin.Options{})
 			f.servers[0].SetFault(fault, 1)
-			var sink tokens
-			_, err := f.run(t, f.chat(), executor.Request{Body: []byte(chatRequest), Stream: true}, sink.take)
+			var sink tokenSink
+			_, err := f.run(t, f.chat(), executor.Request{Body: []byte(chatRequest), Stream: true}, sink.receive)
 			require.NoError(t, err)
 			require.Equal(t, standin.AnswerText(question, 16), sink.text.String())
 			require.Equal(t, 1, sink.ends)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestNotRepeatableStageIsNotTriedTwice(t *testing.T) {
+func TestNonRepeatableStageIsNotRetried(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.FaultCrash, standin.FaultError, standin.FaultTruncate, standin.FaultCross, standin.FaultSilent} {
 		t.Run(standin.FaultNames[fault], func(t *testing.T) {
 			f := newFixture(t, standin.Options{})
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestResendGetsTheStoredOutcome(t *testing.T) {
+func TestResendReturnsStoredOutcome(t *testing.T) {
 	f := newFixture(t, standin.Options{})
 	req := executor.Request{Body: []byte("book"), IdempotencyKey: "k"}
 	first, err := f.run(t, f.booking(), req, nil)
@@ -93,12 +93,12 @@
 	require.NoError(t, err)
 	require.True(t, again.Replayed)
 	require.Equal(t, first.Body, again.Body)
-	require.Len(t, f.records()["/book"], 1)
+	require.Len(t, f.bodiesByPath()["/book"], 1)
 }
 
-func TestRefusalBeforeSendingIsNotRun(t *testing.T) {
+func TestRefusedConnectionReportsNotRun(t *testing.T) {
 	f := newFixture(t, standin.Options{})
-	f.each(func(s *standin.Server) { s.Crash() })
+	f.forEachServer(func(s *standin.Server) { s.Crash() })
 	_, err := f.run(t, f.booking(), executor.Request{Body: []byte("book"), IdempotencyKey: "k"}, nil)
 	e := apierr.From(err)
 	require.Equal(t, apierr.NotRun, e.Run)
@@ -106,17 +106,17 @@
 	require.Equal(t, "", f.ledger.state("k"))
 }
 
-func TestRefusedSecondStageMayHaveRun(t *testing.T) {
+func TestRefusedSecondStageReportsMayHaveRun(t *testing.T) {
 	f := newFixture(t, standin.Options{})
 	plan := f.chain()
-	f.slots.refuse = "retrievers"
+	f.slots.refusedPool = "retrievers"
 	_, err := f.run(t, plan, executor.Request{Body: []byte(chatRequest)}, nil)
 	e := apierr.From(err)
 	require.Equal(t, apierr.NoCapacity, e.Code)
 	require.Equal(t, apierr.MayHaveRun, e.Run)
 }
 
-func TestWrongAnswersAreRetriedElsewhere(t *testing.T) {
+func TestFailedCallIsRetriedOnAnotherServer(t *testing.T) {
 	for _, fault := range []standin.Fault{
 		standin.FaultCrash, standin.FaultTruncate, standin.FaultCross, standin.FaultError, standin.FaultRefuse, standin.FaultSilent,
 	} {
@@ -132,39 +132,40 @@
 	}
 }
 
-func TestGoneCallerCancelsAtTheEngine(t *testing.T) {
+func TestCallerDisconnectEndsRequest(t *testing.T) {
 	f := newFixture(t, standin.Options{FirstToken: time.Minute})
 	ctx, cancel := context.WithCancel(t.Context())
-	f.slots.acquired = cancel
-	_, err := f.exec.Run(ctx, f.complete(f.chat(), executor.Request{Body: []byte(chatRequest)}), nil)
+	f.slots.onAcquire = cancel
+	_, err := f.exec.Run(ctx, f.fillRequest(f.chat(), executor.Request{Body: []byte(chatRequest)}), nil)
 	require.Equal(t, apierr.CallerGone, apierr.From(err).Code)
 	require.NoError(t, f.exec.Wait(t.Context()))
 }
 
-// TestBookingGoesOnWithoutItsCaller sends a booking again after its caller left in the midst of it.
-func TestBookingGoesOnWithoutItsCaller(t *testing.T) {
+// TestNonRepeatableRequestOutlivesCaller resends a booking whose caller disconnected while it ran: the resend gets
+// the stored outcome.
+func TestNonRepeatableRequestOutlivesCaller(t *testing.T) {
 	f := newFixture(t, standin.Options{FirstToken: 50 * time.Millisecond})
 	ctx, cancel := context.WithCancel(t.Context())
-	req := f.complete(f.booking(), executor.Request{Body: []byte("book"), IdempotencyKey: "k"})
-	f.slots.acquired = cancel
+	req := f.fillRequest(f.booking(), executor.Request{Body: []byte("book"), IdempotencyKey: "k"})
+	f.slots.onAcquire = cancel
 	first, err := f.exec.Run(ctx, req, nil)
 	require.NoError(t, err)
-	f.slots.acquired = nil
+	f.slots.onAcquire = nil
 	again, err := f.exec.Run(t.Context(), req, nil)
 	require.NoError(t, err)
 	require.True(t, again.Replayed)
 	require.Equal(t, first.Body, again.Body)
 }
 
-// tokens is a sink.
-type tokens struct {
+// tokenSink collects the events of a stream.
+type tokenSink struct {
 	text   strings.Builder
 	finish string
 	ended  bool
 	ends   int
 }
 
-func (k *tokens) take(ev engine.Event) error {
+func (k *tokenSink) receive(ev engine.Event) error {
 	k.text.WriteString(ev.Text)
 	if ev.End {
 		k.ended = true
@@ -185,7 +186,7 @@
 	return v.Choices[0].Message.Content
 }
 
-// fixture is an executor before two stand-in servers.
+// fixture is an executor in front of two stand-in servers.
 type fixture struct {
 	exec    *executor.Executor
 	servers []*standin.Server
@@ -212,14 +213,14 @@
 	return f
 }
 
-func (f *fixture) each(do func(*standin.Server)) {
+func (f *fixture) forEachServer(do func(*standin.Server)) {
 	for _, s := range f.servers {
 		do(s)
 	}
 }
 
-// records returns the bodies that the servers ran, by path.
-func (f *fixture) records() map[string][]string {
+// bodiesByPath returns the request bodies that the servers handled, by path.
+func (f *fixture) bodiesByPath() map[string][]string {
 	out := make(map[string][]string)
 	for _, s := range f.servers {
 		for _, r := range s.Records() {
@@ -231,10 +232,11 @@
 
 func (f *fixture) run(t *testing.T, p *executor.Plan, r executor.Request, sink executor.Sink) (executor.Result, error) {
 	t.Helper()
-	return f.exec.Run(t.Context(), f.complete(p, r), sink)
+	return f.exec.Run(t.Context(), f.fillRequest(p, r), sink)
 }
 
-func (f *fixture) complete(p *executor.Plan, r executor.Request) executor.Request {
+// fillRequest sets the fields that all requests of a test share.
+func (f *fixture) fillRequest(p *executor.Plan, r executor.Request) executor.Request {
 	r.ID = "r"
 	r.Organisation = "huts"
 	r.Plan = p
@@ -253,6 +255,7 @@
 	return v
 }
 
+// testSet returns a configuration with the pipelines chain, wide and chat, and the service bookings.
 func testSet() *config.Set {
 	set := &config.Set{
 		Pools:     map[string]*config.Pool{},
@@ -282,19 +285,20 @@
 
 func discard() logr.Logger { return logr.Discard() }
 
-// fakeSlots grants the first target that is not to be avoided.
+// fakeSlots grants the first target that is not in Avoid. It refuses requests for refusedPool and calls onAcquire,
+// if set, before each grant.
 type fakeSlots struct {
-	targets  []engine.Target
-	refuse   string
-	acquired func()
+	targets     []engine.Target
+	refusedPool string
+	onAcquire   func()
 }
 
 func (f *fakeSlots) Acquire(_ context.Context, r dispatch.SlotRequest) (dispatch.Slot, error) {
-	if f.acquired != nil {
-		f.acquired()
+	if f.onAcquire != nil {
+		f.onAcquire()
 	}
 	for _, t := range f.targets {
-		if r.Pool != f.refuse && !contains(r.Avoid, t.Server) {
+		if r.Pool != f.refusedPool && !contains(r.Avoid, t.Server) {
 			return fakeSlot{t}, nil
 		}
 	}
--- a/pkg/executor/failure.go
+++ b/pkg/executor/failure.go
@@ -10,24 +10,25 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// errStream means that a stream's tokens don't fit those delivered before.
-var errStream = errors.New("executor: tokens of the stream don't fit")
+// errStreamMismatch fails a stream whose tokens do not continue those delivered before.
+var errStreamMismatch = errors.New("executor: stream tokens do not continue those already delivered")
 
-// resendAfter is when callers may send a failed request again.
-const resendAfter = time.Second
+// retryAfter is the Retry-After time given to callers whose failed request may be sent again.
+const retryAfter = time.Second
 
-// statusCallerGone is the customary status of a request whose caller left.
+// statusCallerGone is the non-standard HTTP status 499 (client closed request).
 const statusCallerGone = 499
 
-// failed decides what follows the failure of an attempt: nothing while another attempt runs, a retry, or the end.
-func (m *machine) failed(now time.Time, id int, o outcome) {
+// handleFailure decides what follows the failure of an attempt: nothing while another attempt at the stage runs,
+// else a retry or the end of the request.
+func (m *machine) handleFailure(now time.Time, id int, o outcome) {
 	a := &m.attempts[id]
 	s := &m.stages[a.stage]
 	if m.winner == id {
 		m.winner = -1
 	}
 	if a.server != "" {
-		s.failed = append(s.failed, a.server)
+		s.failedServers = append(s.failedServers, a.server)
 	}
 	if o.verdict == dispatch.Convicted {
 		m.giveUp(now, errQuarantined())
@@ -35,50 +36,52 @@
 	}
 	m.alone = m.alone || o.verdict == dispatch.Suspect
 	if a.hedge && o.slotErr != nil {
-		m.unhedge(now, a.stage)
+		m.revertHedge(now, a.stage)
 	}
-	if m.othersRun(id) {
+	if m.otherAttemptRunning(id) {
 		if o.failure != nil {
-			s.setback = &o
+			s.deferredFailure = &o
 		}
 		return
 	}
-	if a.hedge && o.slotErr != nil && s.setback != nil {
-		// The first attempt failed in the same moment; that decides.
-		o = *s.setback
+	if a.hedge && o.slotErr != nil && s.deferredFailure != nil {
+		// The first attempt failed while the hedge waited for a slot; its failure decides.
+		o = *s.deferredFailure
 	}
 	if o.slotErr != nil {
 		m.giveUp(now, o.slotErr)
 		return
 	}
 	if !o.failure.Sent && s.unsent < maxUnsent {
-		// Nothing reached a server, so this was no try.
+		// Nothing reached a server, so the attempt does not count towards maxAttempts.
 		s.unsent++
 		s.attempts--
 	}
 	if !m.mayRetry(now, a.stage, o) {
-		m.giveUp(now, m.errorOf(o.failure))
+		m.giveUp(now, m.callerError(o.failure))
 		return
 	}
 	m.retried++
-	m.attempt(now, a.stage, false)
+	m.startAttempt(now, a.stage, false)
 }
 
-// unhedge takes back a hedge that found no room, and tries it again later while the first attempt runs well.
-func (m *machine) unhedge(now time.Time, stage int) {
+// revertHedge uncounts a hedge that got no slot, returns it to the retry budget, and schedules another one while the
+// first attempt is still running without a failure.
+func (m *machine) revertHedge(now time.Time, stage int) {
 	s := &m.stages[stage]
 	s.attempts--
 	s.hedged = false
 	m.hedges--
-	m.advice.unused()
+	m.policy.returnRetry()
 	for _, a := range m.attempts {
-		if a.stage == stage && !a.hedge && !a.ended && !a.cancelled && !a.faltered {
-			s.hedgeAt = now.Add(hedgeAgain)
+		if a.stage == stage && !a.hedge && !a.ended && !a.cancelled && !a.diagnosing {
+			s.hedgeAt = now.Add(hedgeRetryDelay)
 		}
 	}
 }
 
-func (m *machine) othersRun(id int) bool {
+// otherAttemptRunning reports whether another attempt at the same stage is running.
+func (m *machine) otherAttemptRunning(id int) bool {
 	for i, a := range m.attempts {
 		if i != id && a.stage == m.attempts[id].stage && !a.ended && !a.cancelled {
 			return true
@@ -87,23 +90,23 @@
 	return false
 }
 
-// mayRetry reports whether the stage may be tried once more. It takes the retry out of the budget, unless
-// nothing of the failed attempt was sent.
+// mayRetry reports whether the stage may be attempted again. It charges the retry budget, unless nothing of the
+// failed attempt was sent.
 func (m *machine) mayRetry(now time.Time, stage int, o outcome) bool {
-	if !retryable(o.failure.Kind) || o.shareErr != nil {
+	if !retryable(o.failure.Kind) || o.reportErr != nil {
 		return false
 	}
-	if !m.repeat[stage] && m.stageSent(stage) {
+	if !m.repeatable[stage] && m.stageSent(stage) {
 		return false
 	}
 	s := &m.stages[stage]
-	if s.attempts >= maxAttempts || !now.Add(m.advice.need(now, stage).Minimum).Before(s.cut) {
+	if s.attempts >= maxAttempts || !now.Add(m.policy.need(now, stage).Minimum).Before(s.cutoff) {
 		return false
 	}
-	return !o.failure.Sent || m.advice.allow(now)
+	return !o.failure.Sent || m.policy.takeRetry(now)
 }
 
-// retryable reports whether another server may do better.
+// retryable reports whether another server may succeed after a failure of kind k.
 func retryable(k engine.Kind) bool {
 	switch k {
 	case engine.Rejected, engine.Canceled, engine.Stale:
@@ -113,59 +116,59 @@
 	}
 }
 
-// wake does what is due at now: the deadline, hedges, the end of closing.
-func (m *machine) wake(now time.Time) []action {
+// onTimer handles what is due at now: the deadline, hedges, or the end of phaseClosing.
+func (m *machine) onTimer(now time.Time) []action {
 	switch m.phase {
 	case phaseClosing:
 		if !now.Before(m.closeBy) {
-			m.end()
+			m.finish()
 		}
 	case phaseClaiming:
 		if !now.Before(m.deadline) {
-			m.giveUp(now, errLedger())
+			m.giveUp(now, errLedgerUnavailable())
 		}
 	case phaseRunning:
-		if !now.Before(m.cut()) {
-			m.giveUp(now, errExceeded())
+		if !now.Before(m.cutoff()) {
+			m.giveUp(now, errDeadlineExceeded())
 			break
 		}
-		m.hedge(now)
+		m.startHedges(now)
 	default:
 	}
-	return m.take()
+	return m.takeActions()
 }
 
-// cut is when the request can't be done in time any more.
-func (m *machine) cut() time.Time {
+// cutoff returns the time at which the request fails because its deadline can no longer be met.
+func (m *machine) cutoff() time.Time {
 	if m.phase == phaseRunning {
-		return m.stages[m.plan.Steps[m.step][0]].cut
+		return m.stages[m.plan.Steps[m.step][0]].cutoff
 	}
 	return m.deadline
 }
 
-// hedge starts second attempts at the stages whose first one takes too long.
-func (m *machine) hedge(now time.Time) {
+// startHedges starts a second attempt at each stage of the step whose hedge is due.
+func (m *machine) startHedges(now time.Time) {
 	for _, i := range m.plan.Steps[m.step] {
 		s := &m.stages[i]
 		if s.done || s.hedgeAt.IsZero() || now.Before(s.hedgeAt) {
 			continue
 		}
 		s.hedgeAt = time.Time{}
-		if m.alone || s.attempts >= maxAttempts || !m.advice.allow(now) {
+		if m.alone || s.attempts >= maxAttempts || !m.policy.takeRetry(now) {
 			continue
 		}
 		s.hedged = true
 		m.hedges++
-		m.attempt(now, i, true)
+		m.startAttempt(now, i, true)
 	}
 }
 
-// nextWake is when wake is due.
-func (m *machine) nextWake() time.Time {
+// nextTimer returns when onTimer must be called next.
+func (m *machine) nextTimer() time.Time {
 	if m.phase == phaseClosing {
 		return m.closeBy
 	}
-	at := m.cut()
+	at := m.cutoff()
 	if m.phase != phaseRunning {
 		return at
 	}
@@ -177,20 +180,21 @@
 	return at
 }
 
-// gone notes that the caller left. A request that may run at most once goes on once it may have been sent, so that its
-// outcome is known when the caller sends it again.
-func (m *machine) gone(now time.Time) []action {
+// onCallerGone handles a caller that disconnected. An at-most-once request that may have been sent continues, so
+// that its outcome is known when the caller sends it again.
+func (m *machine) onCallerGone(now time.Time) []action {
 	if m.phase == phaseFinished || m.phase == phaseClosing || m.phase == phaseNew {
 		return nil
 	}
-	if m.claim && m.mayHaveRun() {
+	if m.atMostOnce && m.mayHaveRun() {
 		return nil
 	}
-	m.giveUp(now, errGone())
-	return m.take()
+	m.giveUp(now, errCallerGone())
+	return m.takeActions()
 }
 
-// giveUp ends the request with an error, at once when it is known whether any of it was sent.
+// giveUp ends the request with an error. It finishes at once if it is known whether anything was sent, else it
+// enters phaseClosing.
 func (m *machine) giveUp(now time.Time, err *apierr.Error) {
 	if m.phase == phaseFinished || m.phase == phaseClosing {
 		return
@@ -201,26 +205,27 @@
 	for i := range m.attempts {
 		m.cancel(i)
 	}
-	m.close(now)
+	m.finishIfKnown(now)
 }
 
-// close ends the request when it is known whether any of it was sent.
-func (m *machine) close(now time.Time) {
+// finishIfKnown finishes the request when an attempt reported that it sent something, all attempts have ended, or
+// closeBy has passed.
+func (m *machine) finishIfKnown(now time.Time) {
 	open := false
 	for _, a := range m.attempts {
 		if a.ended && a.sent {
-			m.end()
+			m.finish()
 			return
 		}
 		open = open || !a.ended
 	}
 	if !open || !now.Before(m.closeBy) {
-		m.end()
+		m.finish()
 	}
 }
 
-// end settles the claim and finishes the request.
-func (m *machine) end() {
+// finish sets the final error and emits actFinish.
+func (m *machine) finish() {
 	if m.phase == phaseFinished {
 		return
 	}
@@ -231,27 +236,30 @@
 	m.out = append(m.out, action{kind: actFinish})
 }
 
+// endWithError marks the error MayHaveRun if anything may have been sent; the claim of an at-most-once request is
+// then settled as unknown.
 func (m *machine) endWithError() {
 	if !m.mayHaveRun() {
 		return
 	}
 	m.err = m.err.WithRun(apierr.MayHaveRun)
-	if m.claim {
+	if m.atMostOnce {
 		m.settle = settleUnknown
 		m.err.Code = apierr.OutcomeUnknown
 		m.err.RetryAfter = 0
 	}
 }
 
-// errorOf turns a failure into the error that the caller sees.
-func (m *machine) errorOf(f *engine.Error) *apierr.Error {
+// callerError converts a failure into the error that the caller sees.
+func (m *machine) callerError(f *engine.Error) *apierr.Error {
 	if len(m.tokens) > 0 {
 		e := apierr.New(http.StatusBadGateway, apierr.StreamBroken, "the stream broke after %d tokens", len(m.tokens))
-		return e.After(resendAfter).Wrap(f)
+		return e.After(retryAfter).Wrap(f)
 	}
 	return errBackend(f)
 }
 
+// errBackend converts a failure before the first token into the error that the caller sees.
 func errBackend(f *engine.Error) *apierr.Error {
 	switch f.Kind {
 	case engine.Rejected:
@@ -262,10 +270,10 @@
 		return apierr.New(status, apierr.BackendRefused, "the backend server rejected the request: %.200s", f.Body).Wrap(f)
 	case engine.Overloaded:
 		e := apierr.New(http.StatusServiceUnavailable, apierr.Overloaded, "the backend servers are too busy")
-		return e.After(max(f.RetryAfter, resendAfter)).Wrap(f)
+		return e.After(max(f.RetryAfter, retryAfter)).Wrap(f)
 	default:
 		e := apierr.New(http.StatusBadGateway, apierr.BackendFailed, "the backend server failed: %s", f.Kind)
-		return e.After(resendAfter).Wrap(f)
+		return e.After(retryAfter).Wrap(f)
 	}
 }
 
@@ -273,37 +281,40 @@
 	return apierr.New(http.StatusUnprocessableEntity, apierr.RequestQuarantined, "the request crashed backend servers and is refused")
 }
 
-// errConvicted refuses a request before its first attempt. One with a key may have run under it: it crashed servers.
+// errConvicted refuses a convicted request before its first attempt. A request with an idempotency key is reported
+// as MayHaveRun, because an earlier send under the key may be what crashed the servers.
 func (m *machine) errConvicted() *apierr.Error {
 	e := errQuarantined()
-	if m.claim {
+	if m.atMostOnce {
 		return e.WithRun(apierr.MayHaveRun)
 	}
 	return e
 }
 
-// errLedger is the refusal of a request whose key the ledger told nothing of: an earlier send under it may have run.
-func errLedger() *apierr.Error {
+// errLedgerUnavailable fails a request when the ledger gave no answer about its key. An earlier send under the key
+// may have run.
+func errLedgerUnavailable() *apierr.Error {
 	e := apierr.New(http.StatusServiceUnavailable, apierr.LedgerUnavailable, "the claim ledger gave no answer")
-	return e.WithRun(apierr.MayHaveRun).After(resendAfter)
+	return e.WithRun(apierr.MayHaveRun).After(retryAfter)
 }
 
-func errUnmeetable() *apierr.Error {
+func errDeadlineUnmeetable() *apierr.Error {
 	e := apierr.New(http.StatusServiceUnavailable, apierr.DeadlineUnmeetable, "the stages take longer than the time left")
-	return e.After(resendAfter)
+	return e.After(retryAfter)
 }
 
-func errExceeded() *apierr.Error {
+func errDeadlineExceeded() *apierr.Error {
 	e := apierr.New(http.StatusGatewayTimeout, apierr.DeadlineExceeded, "the deadline passed")
-	return e.After(resendAfter)
+	return e.After(retryAfter)
 }
 
-func errGone() *apierr.Error {
+func errCallerGone() *apierr.Error {
 	return apierr.New(statusCallerGone, apierr.CallerGone, "the caller left")
 }
 
-// claimRun is the run state that the ledger's error tells. One of unknown kind tells nothing of earlier sends under the key.
-func claimRun(err error) apierr.Run {
+// claimRunState returns the run state that a ledger error carries. An error of another type says nothing about
+// earlier sends under the key, so it means MayHaveRun.
+func claimRunState(err error) apierr.Run {
 	var e *apierr.Error
 	if errors.As(err, &e) {
 		return e.Run
--- a/pkg/executor/promises_test.go
+++ b/pkg/executor/guarantees_test.go
@@ -18,16 +18,16 @@
 	"github.com/daisyhatch/daisyhatch/pkg/invariant"
 )
 
-// promiseSeeds is the count of random runs; each has its own fixed seed.
-const promiseSeeds = 200
+// guaranteeSeeds is the number of random runs; the run's index is its seed.
+const guaranteeSeeds = 200
 
-// TestPromisesUnderRandomFaults runs random requests, streams and bookings, over servers that fail in every way, and checks
-// each outcome against what the servers really ran.
-func TestPromisesUnderRandomFaults(t *testing.T) {
+// TestGuaranteesUnderRandomFaults runs random requests, streams and bookings against servers with all kinds of
+// faults, and checks each outcome against what the servers were actually sent.
+func TestGuaranteesUnderRandomFaults(t *testing.T) {
 	seen := map[string]int{}
-	for seed := range uint64(promiseSeeds) {
+	for seed := range uint64(guaranteeSeeds) {
 		synctest.Test(t, func(t *testing.T) {
-			runPromises(t, seed, seen, false)
+			runRandomRequests(t, seed, seen, false)
 		})
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
@@ -39,12 +39,12 @@
 	}
 }
 
-// TestPromisesWithHandover does the same over servers of two roles, with prompts that are worth a hand-over.
-func TestPromisesWithHandover(t *testing.T) {
+// TestGuaranteesWithHandover does the same with prefill and decode servers, and prompts long enough for a handover.
+func TestGuaranteesWithHandover(t *testing.T) {
 	seen := map[string]int{}
-	for seed := range uint64(promiseSeeds) {
+	for seed := range uint64(guaranteeSeeds) {
 		synctest.Test(t, func(t *testing.T) {
-			runPromises(t, seed, seen, true)
+			runRandomRequests(t, seed, seen, true)
 		})
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
@@ -56,19 +56,22 @@
 	}
 }
 
-// trial is one request of a random run.
-type trial struct {
+// randomRequest is one request of a random run.
+type randomRequest struct {
 	id       string
 	plan     *executor.Plan
 	stream   bool
 	deadline time.Duration
-	leave    time.Duration
-	copies   int
+	// disconnectAfter is when the caller disconnects; zero means never. copies is how often the request is sent.
+	disconnectAfter time.Duration
+	copies          int
 }
 
-func runPromises(t *testing.T, seed uint64, seen map[string]int, roles bool) {
+// runRandomRequests runs 30 random requests and checks slots, KV caches and bookings afterwards. It counts the kinds
+// of outcomes in seen.
+func runRandomRequests(t *testing.T, seed uint64, seen map[string]int, roles bool) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	w := newWorld(seed, 0.05+0.5*rng.Float64())
+	w := newSimBackends(seed, 0.05+0.5*rng.Float64())
 	w.roles = roles
 	ledger := newFakeLedger()
 	inv := invariant.NewRecorder(discard())
@@ -86,11 +89,11 @@
 		seen[name]++
 	}
 	for i := range 30 {
-		tr := trial{id: fmt.Sprintf("q%d", i), plan: plans[rng.IntN(len(plans))], copies: 1}
+		tr := randomRequest{id: fmt.Sprintf("q%d", i), plan: plans[rng.IntN(len(plans))], copies: 1}
 		tr.stream = rng.IntN(2) == 0 && tr.plan.CanStream()
 		tr.deadline = time.Duration(20+rng.IntN(800)) * time.Millisecond
 		if rng.IntN(5) == 0 {
-			tr.leave = time.Duration(rng.IntN(60)) * time.Millisecond
+			tr.disconnectAfter = time.Duration(rng.IntN(60)) * time.Millisecond
 		}
 		if !tr.plan.Repeatable() {
 			tr.copies = 1 + rng.IntN(3)
@@ -99,18 +102,18 @@
 		wg.Go(func() {
 			time.Sleep(begin)
 			for range tr.copies {
-				runTrial(t, e, w, ledger, tr, count)
+				runRandomRequest(t, e, w, ledger, tr, count)
 			}
 		})
 	}
 	wg.Wait()
 	require.NoError(t, e.Wait(t.Context()))
 	synctest.Wait()
-	broken, _ := inv.Violations()
-	require.Empty(t, broken)
-	require.Zero(t, w.slots, "slots not given back")
+	violations, _ := inv.Violations()
+	require.Empty(t, violations)
+	require.Zero(t, w.slots, "slots not released")
 	require.Zero(t, w.expired, "calls sent under expired slots")
-	require.Zero(t, w.kvCrossed, "KV caches of other callers")
+	require.Zero(t, w.kvCrossed, "KV caches used by another request")
 	seen["handed over"] += w.kvUsed
 	for key, n := range w.sent {
 		if strings.HasSuffix(key, " /book") {
@@ -119,22 +122,23 @@
 	}
 }
 
-func runTrial(t *testing.T, e *executor.Executor, w *world, l *fakeLedger, tr trial, count func(string)) {
+// runRandomRequest sends one request and checks its answer.
+func runRandomRequest(t *testing.T, e *executor.Executor, w *simBackends, l *fakeLedger, tr randomRequest, count func(string)) {
 	ctx := t.Context()
-	if tr.leave > 0 {
-		c, cancel := context.WithTimeout(ctx, tr.leave)
+	if tr.disconnectAfter > 0 {
+		c, cancel := context.WithTimeout(ctx, tr.disconnectAfter)
 		defer cancel()
 		ctx = c
 	}
 	body := fmt.Sprintf(`{"messages":[{"role":"user","content":"#%s#%s"}]}`, tr.id, w.padding())
-	var sink tokens
+	var sink tokenSink
 	began := time.Now()
 	req := executor.Request{
 		ID: tr.id + "/" + began.String(), Organisation: "huts", Plan: tr.plan, Body: []byte(body), Stream: tr.stream,
 		Deadline: began.Add(tr.deadline), IdempotencyKey: tr.id,
 	}
-	res, err := e.Run(ctx, req, sink.take)
-	// An outcome may wait for the ledger; the fake one answers at once.
+	res, err := e.Run(ctx, req, sink.receive)
+	// Storing an outcome may delay the answer; the fake ledger stores it at once.
 	assert.LessOrEqual(t, time.Since(began), tr.deadline+25*time.Millisecond, "%s answered late", tr.id)
 	if err != nil {
 		checkError(t, w, l, tr, &sink, apierr.From(err), count)
@@ -146,7 +150,7 @@
 	switch {
 	case tr.stream:
 		count("stream ok")
-		assert.Equal(t, strings.Join(worldTokens(tr.id), ""), sink.text.String())
+		assert.Equal(t, strings.Join(simTokens(tr.id), ""), sink.text.String())
 		assert.Equal(t, 1, sink.ends)
 	case !tr.plan.Repeatable():
 		count("booking ok")
@@ -154,22 +158,23 @@
 		assert.Equal(t, "done", l.state(tr.id))
 	default:
 		count("ok")
-		assert.Contains(t, string(res.Body), strings.Join(worldTokens(tr.id), ""))
+		assert.Contains(t, string(res.Body), strings.Join(simTokens(tr.id), ""))
 	}
 }
 
-func checkError(t *testing.T, w *world, l *fakeLedger, tr trial, sink *tokens, e *apierr.Error, count func(string)) {
+// checkError checks a failed request's run state against what the servers were sent.
+func checkError(t *testing.T, w *simBackends, l *fakeLedger, tr randomRequest, sink *tokenSink, e *apierr.Error, count func(string)) {
 	count(string(e.Run))
 	if e.Code == apierr.CallerGone {
 		count("gone")
 	}
-	assert.Zero(t, sink.ends, "an error after the end mark")
-	assert.True(t, strings.HasPrefix(strings.Join(worldTokens(tr.id), ""), sink.text.String()), "tokens out of order: %s", sink.text.String())
+	assert.Zero(t, sink.ends, "error after the end event")
+	assert.True(t, strings.HasPrefix(strings.Join(simTokens(tr.id), ""), sink.text.String()), "tokens out of order: %s", sink.text.String())
 	if e.Run == apierr.NotRun {
-		assert.Zero(t, w.sentOf(tr.id), "%s said not run: %v", tr.id, e)
+		assert.Zero(t, w.sentOf(tr.id), "%s reported not_run although it was sent: %v", tr.id, e)
 		return
 	}
 	if !tr.plan.Repeatable() && e.Code != apierr.OutcomePending {
-		assert.Positive(t, w.sentOf(tr.id), "%s said may have run: %v", tr.id, e)
+		assert.Positive(t, w.sentOf(tr.id), "%s reported may_have_run although it was not sent: %v", tr.id, e)
 	}
 }
--- a/pkg/executor/relaybench_test.go
+++ b/pkg/executor/handover_latency_test.go
@@ -23,56 +23,60 @@
 )
 
 var (
-	relaySeeds = flag.Int("relay.seeds", 1, "seeds of each case")
-	relayTime  = flag.Duration("relay.time", 5*time.Second, "length of each run, virtual")
-	relayLoad  = flag.Float64("relay.load", 12, "requests a second")
+	// latencySeeds, latencyRunTime and latencyLoad set the size of TestHandoverLatency.
+	latencySeeds   = flag.Int("relay.seeds", 1, "number of seeds for each case")
+	latencyRunTime = flag.Duration("relay.time", 5*time.Second, "length of each run in virtual time")
+	latencyLoad    = flag.Float64("relay.load", 12, "requests per second")
 )
 
-const relayUnits = 8
+// slotsPerServer is the number of concurrent calls that a stand-in server accepts.
+const slotsPerServer = 8
 
-// relayFleet hands out slots on the least busy stand-in of a role. It implements dispatch.Slots.
-type relayFleet struct {
+// leastBusySlots implements dispatch.Slots. It grants a slot on the least busy stand-in server of the requested
+// role.
+type leastBusySlots struct {
 	mu      sync.Mutex
 	servers []*standin.Server
 	busy    []int
 }
 
-type relaySlot struct {
-	f *relayFleet
+type leastBusySlot struct {
+	f *leastBusySlots
 	i int
 }
 
-func (s *relaySlot) Target() engine.Target { return s.f.servers[s.i].Target() }
-func (s *relaySlot) Cold() bool            { return false }
-func (s *relaySlot) Valid() bool           { return true }
-func (s *relaySlot) Done(dispatch.Report) {
+func (s *leastBusySlot) Target() engine.Target { return s.f.servers[s.i].Target() }
+func (s *leastBusySlot) Cold() bool            { return false }
+func (s *leastBusySlot) Valid() bool           { return true }
+func (s *leastBusySlot) Done(dispatch.Report) {
 	s.f.mu.Lock()
 	defer s.f.mu.Unlock()
 	s.f.busy[s.i]--
 }
 
-func (f *relayFleet) Acquire(ctx context.Context, r dispatch.SlotRequest) (dispatch.Slot, error) {
+func (f *leastBusySlots) Acquire(ctx context.Context, r dispatch.SlotRequest) (dispatch.Slot, error) {
 	for {
-		if s := f.take(r.Role); s != nil {
+		if s := f.tryAcquire(r.Role); s != nil {
 			return s, nil
 		}
 		if r.Spare {
-			return nil, apierr.New(503, apierr.NoCapacity, "nothing to spare")
+			return nil, apierr.New(503, apierr.NoCapacity, "no spare capacity")
 		}
 		select {
 		case <-time.After(time.Millisecond):
 		case <-ctx.Done():
-			return nil, apierr.New(503, apierr.NoCapacity, "gave up waiting")
+			return nil, apierr.New(503, apierr.NoCapacity, "context ended while waiting for a slot")
 		}
 	}
 }
 
-func (f *relayFleet) take(role string) *relaySlot {
+// tryAcquire returns a slot on the least busy server of the role, or nil if all are full.
+func (f *leastBusySlots) tryAcquire(role string) *leastBusySlot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	best := -1
 	for i, s := range f.servers {
-		if role != "" && s.Target().Role != role || f.busy[i] >= relayUnits {
+		if role != "" && s.Target().Role != role || f.busy[i] >= slotsPerServer {
 			continue
 		}
 		if best < 0 || f.busy[i] < f.busy[best] {
@@ -83,18 +87,19 @@
 		return nil
 	}
 	f.busy[best]++
-	return &relaySlot{f, best}
+	return &leastBusySlot{f, best}
 }
 
-// relayResult is what one run gave.
-type relayResult struct {
-	first, between []time.Duration
-	failed         int
+// latencyResult holds the latencies measured in one run and the number of failed requests.
+type latencyResult struct {
+	firstToken, tokenGaps []time.Duration
+	failed                int
 }
 
-func relayRun(t *testing.T, seed uint64, roles bool) (r relayResult) {
+// measureLatency runs the load against six stand-in servers, with or without roles, in virtual time.
+func measureLatency(t *testing.T, seed uint64, roles bool) (r latencyResult) {
 	synctest.Test(t, func(t *testing.T) {
-		net, f := memnet.New(), &relayFleet{}
+		net, f := memnet.New(), &leastBusySlots{}
 		for i := range 6 {
 			o := standin.Options{
 				Name: fmt.Sprint("s", i), Address: fmt.Sprintf("10.0.1.%d:80", i+1), Listen: net.Listen, Tokens: 40,
@@ -109,7 +114,7 @@
 		}
 		client := openai.New(openai.Options{Dial: net.Dialer("10.0.0.1")})
 		e := executor.New(executor.Options{Slots: f, Engine: client, Log: discard()})
-		r = relayLoadRun(e, seed)
+		r = sendStreams(e, seed)
 		require.NoError(t, e.Wait(t.Context()))
 		client.Close()
 		for _, s := range f.servers {
@@ -119,14 +124,14 @@
 	return r
 }
 
-// relayLoadRun sends streams whose prompts share no prefix.
-func relayLoadRun(e *executor.Executor, seed uint64) (r relayResult) {
+// sendStreams sends streaming requests at random intervals. Their prompts share no prefix.
+func sendStreams(e *executor.Executor, seed uint64) (r latencyResult) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	plan := must(executor.PlanPipeline(testSet(), "chat"))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for end, n := time.Now().Add(*relayTime), 0; time.Now().Before(end); n++ {
+	for end, n := time.Now().Add(*latencyRunTime), 0; time.Now().Before(end); n++ {
 		prompt := fmt.Sprintf("%d %0*d", n, 2048+rng.IntN(6<<10), 0)
 		wg.Go(func() {
 			began := time.Now()
@@ -152,27 +157,28 @@
 				r.failed++
 				return
 			}
-			r.first, r.between = append(r.first, first), append(r.between, gaps...)
+			r.firstToken, r.tokenGaps = append(r.firstToken, first), append(r.tokenGaps, gaps...)
 		})
-		time.Sleep(time.Duration(rng.ExpFloat64() / *relayLoad * float64(time.Second)))
+		time.Sleep(time.Duration(rng.ExpFloat64() / *latencyLoad * float64(time.Second)))
 	}
 	return r
 }
 
-func at(d []time.Duration, share float64) time.Duration {
+// percentile returns the element of d at the given fraction, 0 to 1; it sorts d.
+func percentile(d []time.Duration, share float64) time.Duration {
 	slices.Sort(d)
 	return d[int(share*float64(len(d)-1))]
 }
 
-// TestHandoverLatency compares first token and time between tokens of six servers that do all, and of two for prompts and
-// four for tokens. No request may be lost.
+// TestHandoverLatency compares the time to the first token and between tokens of six servers without roles with that
+// of two prefill and four decode servers. No request may fail.
 func TestHandoverLatency(t *testing.T) {
-	for seed := range uint64(*relaySeeds) {
+	for seed := range uint64(*latencySeeds) {
 		for _, roles := range []bool{false, true} {
-			r := relayRun(t, seed, roles)
+			r := measureLatency(t, seed, roles)
 			require.Zero(t, r.failed)
 			t.Logf("seed %d, roles %t: %d requests, first token %v, 95 %% %v; between tokens %v, 95 %% %v, 99 %% %v", seed, roles,
-				len(r.first), at(r.first, 0.5), at(r.first, 0.95), at(r.between, 0.5), at(r.between, 0.95), at(r.between, 0.99))
+				len(r.firstToken), percentile(r.firstToken, 0.5), percentile(r.firstToken, 0.95), percentile(r.tokenGaps, 0.5), percentile(r.tokenGaps, 0.95), percentile(r.tokenGaps, 0.99))
 		}
 	}
 }
--- a/pkg/executor/handover_test.go
+++ b/pkg/executor/handover_state_test.go
@@ -8,19 +8,19 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// TestHandoverSteps takes each step to each end.
+// TestHandoverSteps checks the transition for each combination of step, failure and cancellation.
 func TestHandoverSteps(t *testing.T) {
 	for kind := engine.Kind(0); kind <= engine.Canceled; kind++ {
-		for step := stepPrefill; step <= stepWhole; step++ {
+		for step := stepPrefill; step <= stepDecodeOnly; step++ {
 			for _, givenUp := range []bool{false, true} {
-				h := &handover{step: step}
+				h := &handoverState{step: step}
 				var failure *engine.Error
 				if kind != 0 {
 					failure = &engine.Error{Kind: kind, Sent: kind != engine.Refused}
 				}
-				h.next(failure, givenUp)
+				h.advance(failure, givenUp)
 				require.Equal(t, kind != engine.Refused, h.sent)
-				want := stepWhole
+				want := stepDecodeOnly
 				switch {
 				case step >= stepGenerate:
 					want = stepEnd
@@ -35,12 +35,14 @@
 	}
 }
 
-func TestHandoverTellsWhatWasSent(t *testing.T) {
+// TestHandoverFailureReportsSent checks that a failure on one server is marked as sent once the other server was
+// sent the prompt.
+func TestHandoverFailureReportsSent(t *testing.T) {
 	h := newHandover()
 	refused := &engine.Error{Kind: engine.Refused}
-	require.False(t, h.truth(refused).Sent, "nothing was sent yet")
-	h.next(nil, false)
-	require.True(t, h.truth(refused).Sent, "the prompt may have run on the other server")
+	require.False(t, h.withSent(refused).Sent, "nothing was sent yet")
+	h.advance(nil, false)
+	require.True(t, h.withSent(refused).Sent, "the prompt may have run on the other server")
 	require.False(t, refused.Sent)
-	require.Nil(t, h.truth(nil))
+	require.Nil(t, h.withSent(nil))
 }
--- a/pkg/executor/crashhedge_test.go
+++ b/pkg/executor/hedge_test.go
@@ -15,7 +15,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/executor"
 )
 
-// crashEngine answers after 20 ms, or crashes after 5 ms while crash is set. It notes when calls begin.
+// crashEngine answers after 20 ms, or crashes after 5 ms while crash is set. It records when calls begin.
 type crashEngine struct {
 	engine.Client
 	crash bool
@@ -36,21 +36,21 @@
 	return &engine.Error{Kind: engine.Refused, Server: t.Server}
 }
 
-// sharing takes a while to share a crash, as the control VMs do.
-type sharing struct{ took time.Duration }
+// slowCrashReport is a quarantine whose crash reports take some time, as those to the control VMs do.
+type slowCrashReport struct{ took time.Duration }
 
-func (sharing) Check(uint64) dispatch.Verdict                  { return dispatch.Clear }
-func (sharing) Confirm(context.Context) error                  { return nil }
-func (sharing) Begin(engine.Target, uint64, bool) (end func()) { return func() {} }
+func (slowCrashReport) Check(uint64) dispatch.Verdict                  { return dispatch.Clear }
+func (slowCrashReport) Confirm(context.Context) error                  { return nil }
+func (slowCrashReport) Begin(engine.Target, uint64, bool) (end func()) { return func() {} }
 
-func (s sharing) Crashed(context.Context, engine.Target, uint64) (dispatch.Verdict, error) {
+func (s slowCrashReport) Crashed(context.Context, engine.Target, uint64) (dispatch.Verdict, error) {
 	time.Sleep(s.took)
 	return dispatch.Convicted, nil
 }
 
-// No hedge starts while a crash is being shared: it would take a second server down before the request is known
-// as a suspect.
-func TestNoHedgeWhileACrashIsShared(t *testing.T) {
+// TestNoHedgeWhileCrashIsReported guards against a hedge that starts while a crash is being reported: it would crash
+// a second server before the request is known as a suspect.
+func TestNoHedgeWhileCrashIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stage := &config.Stage{Name: "find", Pool: "p", Operation: "retrieve", Repeatable: true, Hedge: true}
 		plan := &executor.Plan{
@@ -58,7 +58,7 @@
 			Stages: []executor.PlanStage{{Spec: stage, Pool: &config.Pool{Name: "p"}}},
 		}
 		eng := &crashEngine{}
-		exec := executor.New(executor.Options{Slots: &slowSlots{}, Engine: eng, Quarantine: sharing{took: time.Second}})
+		exec := executor.New(executor.Options{Slots: &slowSlots{}, Engine: eng, Quarantine: slowCrashReport{took: time.Second}})
 		run := func() error {
 			r := executor.Request{ID: "r", Plan: plan, Body: []byte(`{"query":"x"}`), Deadline: time.Now().Add(5 * time.Second)}
 			_, err := exec.Run(t.Context(), r, nil)
--- a/pkg/executor/ledger_test.go
+++ b/pkg/executor/ledger_test.go
@@ -17,7 +17,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/executor"
 )
 
-// fakeLedger is a ledger in memory.
+// fakeLedger is an in-memory ledger. Its states are "" (free), "claimed", "done" and "unknown", by idempotency key.
 type fakeLedger struct {
 	mu     sync.Mutex
 	states map[string]string
@@ -72,7 +72,7 @@
 	return l.set(k, "unknown")
 }
 
-// silentLedger gives no answer for a time, and then none of use.
+// silentLedger delays each claim and then fails it with an error that carries no run state.
 type silentLedger struct {
 	dispatch.Ledger
 	took time.Duration
@@ -83,8 +83,9 @@
 	return dispatch.Claim{}, errors.New("lost")
 }
 
-// A request whose key the ledger tells nothing of may have run: an earlier send under the key may have.
-func TestUnansweredClaimIsNotSaidToBeNotRun(t *testing.T) {
+// TestUnansweredClaimReportsMayHaveRun guards against reporting not_run when the ledger gave no answer about a key:
+// an earlier send under the key may have run.
+func TestUnansweredClaimReportsMayHaveRun(t *testing.T) {
 	for _, took := range []time.Duration{time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
 			stage := &config.Stage{Name: "book", Pool: "p", Operation: "http"}
@@ -97,7 +98,7 @@
 			_, err := exec.Run(t.Context(), r, nil)
 			require.Equal(t, apierr.MayHaveRun, apierr.From(err).Run)
 			require.NotEqual(t, apierr.DeadlineExceeded, apierr.From(err).Code)
-			// The bubble ends once the claim has.
+			// The synctest bubble can only end once the pending claim has returned.
 			time.Sleep(took)
 		})
 	}
--- a/pkg/executor/machine.go
+++ b/pkg/executor/machine.go
@@ -11,146 +11,160 @@
 	"github.com/daisyhatch/daisyhatch/pkg/invariant"
 )
 
-// Limits of the machine.
 const (
-	// maxAttempts bounds the attempts of one stage, hedges included.
+	// maxAttempts bounds the counted attempts at one stage, hedges included.
 	maxAttempts = 4
-	// maxUnsent bounds the attempts that ended before anything was sent, and so count for nothing else.
+	// maxUnsent bounds the failed attempts at one stage that sent nothing; these do not count towards maxAttempts.
 	maxUnsent = 16
-	// closeGrace is how long a request that was given up on waits for its cancelled attempts to tell whether
-	// they sent anything.
+	// closeGrace is how long an aborted request waits for its cancelled attempts to report whether they sent
+	// anything.
 	closeGrace = 20 * time.Millisecond
 )
 
-// machine is the state machine of one request. It is pure: methods take an event and the time, and
-// return the actions that follow. It is not safe for concurrent use.
+// machine is the state machine of one request. Its methods take an event and the current time, and return the
+// actions to carry out; they do no I/O and start no goroutines. It is not safe for concurrent use.
 type machine struct {
 	plan     *Plan
 	deadline time.Time
-	// claim is true when the request may run at most once; never repeat a stage marked so.
-	claim     bool
-	repeat    []bool
+	// atMostOnce is true when the request may run at most once and therefore needs a claim in the ledger.
+	atMostOnce bool
+	// repeatable holds, for each stage, whether it may be sent more than once.
+	repeatable []bool
+	// streaming is true when the tokens of the last stage go to the caller as they arrive.
 	streaming bool
-	alone     bool
-	advice    advisor
-	inv       *invariant.Recorder
+	// alone is true when the request is a suspect: its attempts must be the only call on their server.
+	alone  bool
+	policy policy
+	inv    *invariant.Recorder
 
-	phase    phase
+	phase phase
+	// step is the index of the current step in plan.Steps.
 	step     int
 	stages   []stageState
 	attempts []attempt
-	// winner is the attempt whose tokens reach the caller; -1 while there is none.
+	// winner is the index of the attempt whose tokens reach the caller; -1 while there is none.
 	winner int
-	tokens []string
-	finish string
-	usage  engine.Usage
+	// tokens holds the tokens delivered to the caller so far.
+	tokens       []string
+	finishReason string
+	usage        engine.Usage
 
+	// closeBy is when phaseClosing ends even if attempts have not reported.
 	closeBy time.Time
 	err     *apierr.Error
-	replay  *dispatch.Outcome
-	settle  settlement
-	out     []action
+	// replay is the stored outcome of an earlier run of the same idempotency key.
+	replay *dispatch.Outcome
+	// settle is what to do with the claim once the request has finished.
+	settle settlement
+	// out collects the actions that the current event causes.
+	out []action
 
-	// Counts for metrics.
+	// dropped counts ignored events: duplicate tokens, and tokens and answers of attempts that lost or were
+	// cancelled.
 	dropped int
+	// resumed counts attempts that continue a broken stream.
 	resumed int
+	// retried counts retries; hedges, below, counts hedges that got a slot or are waiting for one.
 	retried int
 	hedges  int
 }
 
-func newMachine(req *Request, advice advisor, inv *invariant.Recorder) *machine {
+func newMachine(req *Request, p policy, inv *invariant.Recorder) *machine {
 	m := &machine{
-		plan:      req.Plan,
-		deadline:  req.Deadline,
-		claim:     req.NotRepeatable || !req.Plan.Repeatable(),
-		streaming: req.Stream && req.Plan.CanStream(),
-		advice:    advice,
-		inv:       inv,
-		stages:    make([]stageState, len(req.Plan.Stages)),
-		repeat:    make([]bool, len(req.Plan.Stages)),
-		winner:    -1,
+		plan:       req.Plan,
+		deadline:   req.Deadline,
+		atMostOnce: req.NotRepeatable || !req.Plan.Repeatable(),
+		streaming:  req.Stream && req.Plan.CanStream(),
+		policy:     p,
+		inv:        inv,
+		stages:     make([]stageState, len(req.Plan.Stages)),
+		repeatable: make([]bool, len(req.Plan.Stages)),
+		winner:     -1,
 	}
 	for i, s := range req.Plan.Stages {
-		m.repeat[i] = s.Spec.Repeatable && !req.NotRepeatable
+		m.repeatable[i] = s.Spec.Repeatable && !req.NotRepeatable
 	}
 	return m
 }
 
-// take returns the actions that were put out since the last call.
-func (m *machine) take() []action {
+// takeActions returns the actions emitted since the last call.
+func (m *machine) takeActions() []action {
 	out := m.out
 	m.out = nil
 	return out
 }
 
-// start begins the request with what the quarantine says of it.
+// start begins the request, given the quarantine's verdict on its fingerprint.
 func (m *machine) start(now time.Time, v dispatch.Verdict) []action {
 	m.alone = v == dispatch.Suspect
 	switch {
 	case v == dispatch.Convicted:
 		m.giveUp(now, m.errConvicted())
-	case m.claim:
+	case m.atMostOnce:
 		m.phase = phaseClaiming
 		m.out = append(m.out, action{kind: actClaim})
 	default:
 		m.phase = phaseRunning
 		m.beginStep(now)
 	}
-	return m.take()
+	return m.takeActions()
 }
 
-// claimed takes what the ledger said. err is nil, or says why the request must not run.
-func (m *machine) claimed(now time.Time, c dispatch.Claim, err error) []action {
+// onClaimResult handles the ledger's reply. A non-nil err says why the request must not run.
+func (m *machine) onClaimResult(now time.Time, c dispatch.Claim, err error) []action {
 	if m.phase != phaseClaiming {
 		return nil
 	}
 	switch {
 	case err != nil:
-		m.giveUp(now, apierr.From(err).WithRun(claimRun(err)))
+		m.giveUp(now, apierr.From(err).WithRun(claimRunState(err)))
 	case c.Outcome != nil:
 		m.replay = c.Outcome
-		m.end()
+		m.finish()
 	case !c.Granted:
-		m.giveUp(now, errLedger())
+		m.giveUp(now, errLedgerUnavailable())
 	default:
 		m.settle = settleAbandon
 		m.phase = phaseRunning
 		m.beginStep(now)
 	}
-	return m.take()
+	return m.takeActions()
 }
 
-// acquired notes that an attempt has a slot on a server and is about to send.
-func (m *machine) acquired(now time.Time, id int, server string) []action {
+// onSlotAcquired records that an attempt holds a slot on a server and is about to send. An attempt that is not
+// itself a hedge schedules the stage's hedge.
+func (m *machine) onSlotAcquired(now time.Time, id int, server string) []action {
 	a := &m.attempts[id]
 	a.server = server
 	s := &m.stages[a.stage]
 	if m.phase != phaseRunning || a.cancelled || s.done || a.hedge || s.hedged || !s.hedgeAt.IsZero() {
 		return nil
 	}
-	if d, ok := m.hedgeable(now, a.stage); ok {
+	if d, ok := m.hedgeDelay(now, a.stage); ok {
 		s.hedgeAt = now.Add(d)
 	}
 	return nil
 }
 
-func (m *machine) hedgeable(now time.Time, stage int) (time.Duration, bool) {
-	if !m.repeat[stage] || !m.plan.Stages[stage].Spec.Hedge || m.alone {
+// hedgeDelay returns how long to wait before hedging a stage; ok is false when it must not be hedged.
+func (m *machine) hedgeDelay(now time.Time, stage int) (time.Duration, bool) {
+	if !m.repeatable[stage] || !m.plan.Stages[stage].Spec.Hedge || m.alone {
 		return 0, false
 	}
-	return m.advice.hedgeAfter(now, stage)
+	return m.policy.hedgeAfter(now, stage)
 }
 
-// faltered notes that an attempt failed whose cause is still being found and shared. No hedge starts meanwhile: the
-// request may be what crashed the server.
-func (m *machine) faltered(id int) []action {
-	m.attempts[id].faltered = true
+// onDiagnosisStart records that an attempt failed and that its cause is being determined and reported. No hedge of
+// the stage starts meanwhile: the request may be what crashed the server.
+func (m *machine) onDiagnosisStart(id int) []action {
+	m.attempts[id].diagnosing = true
 	m.stages[m.attempts[id].stage].hedgeAt = time.Time{}
 	return nil
 }
 
-// token takes one event of a stream.
-func (m *machine) token(now time.Time, id int, ev engine.Event) []action {
+// onToken handles one event of a stream. It drops duplicate tokens and fails the attempt on a gap or a differing
+// token.
+func (m *machine) onToken(now time.Time, id int, ev engine.Event) []action {
 	a := &m.attempts[id]
 	if m.phase != phaseRunning || a.cancelled || a.ended || (m.winner >= 0 && m.winner != id) {
 		m.dropped++
@@ -160,33 +174,33 @@
 		m.usage = ev.Usage
 	}
 	if ev.FinishReason != "" {
-		m.finish = ev.FinishReason
+		m.finishReason = ev.FinishReason
 	}
 	if ev.Text == "" {
 		return nil
 	}
 	if ev.Index >= 0 && ev.Index < len(m.tokens) {
 		if m.tokens[ev.Index] != ev.Text {
-			m.broken(now, id, engine.Crossed)
-			return m.take()
+			m.failStream(now, id, engine.Crossed)
+			return m.takeActions()
 		}
 		m.dropped++
 		return nil
 	}
 	if ev.Index < 0 || ev.Index > len(m.tokens) {
-		m.broken(now, id, engine.Truncated)
-		return m.take()
+		m.failStream(now, id, engine.Truncated)
+		return m.takeActions()
 	}
-	m.choose(id)
+	m.selectWinner(id)
 	a.used = true
 	m.tokens = append(m.tokens, ev.Text)
 	ev.End = false
 	m.out = append(m.out, action{kind: actDeliver, event: ev})
-	return m.take()
+	return m.takeActions()
 }
 
-// choose makes an attempt the one whose tokens reach the caller and cancels the others.
-func (m *machine) choose(id int) {
+// selectWinner makes an attempt the one whose tokens reach the caller and cancels the others at its stage.
+func (m *machine) selectWinner(id int) {
 	if m.winner == id {
 		return
 	}
@@ -195,18 +209,18 @@
 	m.cancelOthers(id)
 }
 
-// broken ends a stream that can't be trusted any more: a token is missing or differs from the one delivered.
-func (m *machine) broken(now time.Time, id int, k engine.Kind) {
+// failStream fails an attempt whose stream is inconsistent: a token is missing or differs from the one delivered.
+func (m *machine) failStream(now time.Time, id int, k engine.Kind) {
 	a := &m.attempts[id]
 	a.ended = true
 	a.sent = true
 	a.cancelled = true
 	m.out = append(m.out, action{kind: actCancel, attempt: id})
-	m.failed(now, id, outcome{failure: &engine.Error{Kind: k, Server: a.server, Sent: true, Err: errStream}})
+	m.handleFailure(now, id, outcome{failure: &engine.Error{Kind: k, Server: a.server, Sent: true, Err: errStreamMismatch}})
 }
 
-// ended takes how an attempt ended.
-func (m *machine) ended(now time.Time, id int, o outcome) []action {
+// onAttemptEnd handles the outcome of an attempt.
+func (m *machine) onAttemptEnd(now time.Time, id int, o outcome) []action {
 	a := &m.attempts[id]
 	if a.ended {
 		m.dropped++
@@ -216,30 +230,31 @@
 	a.sent = o.sent()
 	switch {
 	case m.phase == phaseClosing:
-		m.close(now)
+		m.finishIfKnown(now)
 	case m.phase != phaseRunning, a.cancelled, m.stages[a.stage].done:
 		if o.failure == nil && o.slotErr == nil {
 			m.dropped++
 		}
 	case o.slotErr != nil || o.failure != nil:
-		m.failed(now, id, o)
+		m.handleFailure(now, id, o)
 	case m.streamed(a.stage) && o.tokens != len(m.tokens):
-		m.failed(now, id, outcome{failure: &engine.Error{Kind: engine.Truncated, Server: a.server, Sent: true, Err: errStream}})
+		m.handleFailure(now, id, outcome{failure: &engine.Error{Kind: engine.Truncated, Server: a.server, Sent: true, Err: errStreamMismatch}})
 	default:
-		m.answered(now, id, o.answer)
+		m.completeStage(now, id, o.answer)
 	}
-	return m.take()
+	return m.takeActions()
 }
 
-// answered completes a stage. The first whole answer wins.
-func (m *machine) answered(now time.Time, id int, answer engine.Answer) {
+// completeStage records the answer of a stage; the first complete answer wins. It starts the next step, or finishes
+// the request, once all stages of the step are done.
+func (m *machine) completeStage(now time.Time, id int, answer engine.Answer) {
 	a := &m.attempts[id]
 	s := &m.stages[a.stage]
 	if !m.inv.Assert(!s.done, "stage-once", "stage %d completed twice", a.stage) {
 		return
 	}
 	if m.streamed(a.stage) {
-		m.choose(id)
+		m.selectWinner(id)
 	}
 	a.used = true
 	s.done = true
@@ -258,12 +273,13 @@
 		m.beginStep(now)
 		return
 	}
-	m.settleAnswered()
-	m.end()
+	m.settleCompleted()
+	m.finish()
 }
 
-func (m *machine) settleAnswered() {
-	if m.claim {
+// settleCompleted requests that the outcome be stored under the claim, if there is one.
+func (m *machine) settleCompleted() {
+	if m.atMostOnce {
 		m.settle = settleComplete
 	}
 }
@@ -282,6 +298,7 @@
 	}
 }
 
+// cancel cancels an attempt that is still running.
 func (m *machine) cancel(id int) {
 	a := &m.attempts[id]
 	if a.ended || a.cancelled {
@@ -291,31 +308,31 @@
 	m.out = append(m.out, action{kind: actCancel, attempt: id})
 }
 
-// beginStep starts the stages of the present step, or refuses when the deadline can't be met any more.
+// beginStep starts the stages of the current step, or fails the request when its deadline can no longer be met.
 func (m *machine) beginStep(now time.Time) {
 	needs := m.needs(now)
-	if !m.meetable(now, needs) {
-		m.giveUp(now, errUnmeetable())
+	if !m.canMeetDeadline(now, needs) {
+		m.giveUp(now, errDeadlineUnmeetable())
 		return
 	}
 	share := deadline.Of(now, m.deadline, needs[0], needs[1:])
 	for _, i := range m.plan.Steps[m.step] {
 		s := &m.stages[i]
 		s.began = now
-		s.cut = share.Cut
+		s.cutoff = share.Cut
 		s.target = share.Target
-		m.advice.first(now)
-		m.attempt(now, i, false)
+		m.policy.recordFirstAttempt(now)
+		m.startAttempt(now, i, false)
 	}
 }
 
-// needs returns what the present step and each one behind it need.
+// needs returns the expected durations of the current step and of each later one.
 func (m *machine) needs(now time.Time) []deadline.Need {
 	needs := make([]deadline.Need, 0, len(m.plan.Steps)-m.step)
 	for _, step := range m.plan.Steps[m.step:] {
 		var n deadline.Need
 		for _, i := range step {
-			one := m.advice.need(now, i)
+			one := m.policy.need(now, i)
 			n.Minimum = max(n.Minimum, one.Minimum)
 			n.Typical = max(n.Typical, one.Typical)
 			n.High = max(n.High, one.High)
@@ -325,9 +342,9 @@
 	return needs
 }
 
-// meetable reports whether going on makes sense. Before anything ran, what was learned counts; later only the
-// configured minimum does, since the work done would be lost.
-func (m *machine) meetable(now time.Time, needs []deadline.Need) bool {
+// canMeetDeadline reports whether to start the current step. Before the first step the learned latencies count.
+// Later only the configured minimum does, because refusing then would discard the work done.
+func (m *machine) canMeetDeadline(now time.Time, needs []deadline.Need) bool {
 	if m.step == 0 && deadline.Meetable(now, m.deadline, needs) {
 		return true
 	}
@@ -338,19 +355,19 @@
 	if !now.Before(m.deadline) || !deadline.Meetable(now, m.deadline, least) {
 		return false
 	}
-	return m.step > 0 || m.advice.probe(now)
+	return m.step > 0 || m.policy.allowProbe(now)
 }
 
-// attempt starts one more attempt at a stage.
-func (m *machine) attempt(now time.Time, stage int, hedge bool) {
+// startAttempt starts another attempt at a stage.
+func (m *machine) startAttempt(now time.Time, stage int, hedge bool) {
 	s := &m.stages[stage]
 	spec := attemptSpec{
 		stage:  stage,
 		hedge:  hedge,
 		alone:  m.alone,
 		target: s.target,
-		cut:    s.cut,
-		avoid:  m.avoid(stage),
+		cutoff: s.cutoff,
+		avoid:  m.serversToAvoid(stage),
 	}
 	spec.streamed = m.streamed(stage)
 	if m.streamed(stage) && len(m.tokens) > 0 {
@@ -358,8 +375,8 @@
 		spec.resumeText = strings.Join(m.tokens, "")
 		m.resumed++
 	}
-	if !m.inv.Assert(m.repeat[stage] || !m.stageSent(stage), "not-repeatable-once", "stage %d may have run", stage) {
-		m.giveUp(now, errBackend(&engine.Error{Kind: engine.Failed, Err: errStream}))
+	if !m.inv.Assert(m.repeatable[stage] || !m.stageSent(stage), "not-repeatable-once", "stage %d may have run", stage) {
+		m.giveUp(now, errBackend(&engine.Error{Kind: engine.Failed, Err: errStreamMismatch}))
 		return
 	}
 	s.attempts++
@@ -367,9 +384,9 @@
 	m.out = append(m.out, action{kind: actAttempt, attempt: len(m.attempts) - 1, spec: spec})
 }
 
-// avoid names the servers that failed a stage or are at it now.
-func (m *machine) avoid(stage int) []string {
-	avoid := append([]string(nil), m.stages[stage].failed...)
+// serversToAvoid returns the servers that failed a stage or are running it now.
+func (m *machine) serversToAvoid(stage int) []string {
+	avoid := append([]string(nil), m.stages[stage].failedServers...)
 	for _, a := range m.attempts {
 		if a.stage == stage && !a.ended && a.server != "" {
 			avoid = append(avoid, a.server)
@@ -378,7 +395,7 @@
 	return avoid
 }
 
-// stageSent reports whether any byte of an attempt at the stage may have left.
+// stageSent reports whether an attempt at the stage sent any byte, or may have because it has not ended.
 func (m *machine) stageSent(stage int) bool {
 	for _, a := range m.attempts {
 		if a.stage == stage && (!a.ended || a.sent) {
@@ -388,7 +405,7 @@
 	return false
 }
 
-// mayHaveRun reports whether any byte of any stage call may have left.
+// mayHaveRun reports whether an attempt at any stage sent any byte, or may have because it has not ended.
 func (m *machine) mayHaveRun() bool {
 	for _, a := range m.attempts {
 		if !a.ended || a.sent {
--- a/pkg/executor/poison_test.go
+++ b/pkg/executor/poison_test.go
@@ -20,31 +20,33 @@
 	"github.com/daisyhatch/daisyhatch/pkg/suspect"
 )
 
+// poisonMark in a request's body crashes each server that runs it.
 const poisonMark = "poison"
 
-// maxServersLost is how many servers one request may take down in the whole system.
+// maxServersLost is how many servers one request may crash in the whole system.
 const maxServersLost = 2
 
-// TestPoisonTakesTwoServersAtMost resends a request that crashes each server through several entry VMs, amid
-// innocent requests.
-func TestPoisonTakesTwoServersAtMost(t *testing.T) {
+// TestPoisonCrashesAtMostTwoServers resends a request that crashes every server through several entry VMs, while
+// innocent requests run beside it.
+func TestPoisonCrashesAtMostTwoServers(t *testing.T) {
 	var innocents, suspected int
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
-			good, suspects := runPoison(t, seed, 0, false)
-			innocents += good
+			completed, suspects := runPoison(t, seed, 0, false)
+			innocents += completed
 			suspected += suspects
 		})
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
-	t.Logf("%d innocents completed, %d requests fell under suspicion", innocents, suspected)
-	require.Greater(t, suspected, 60, "no innocent was ever beside the poison")
+	t.Logf("%d innocent requests completed, %d requests became suspects", innocents, suspected)
+	require.Greater(t, suspected, 60, "no innocent request ever ran beside the poison request")
 }
 
-// TestPoisonWithLaggingWatch keeps the bound when the other entry VMs hear of suspects late.
-func TestPoisonWithLaggingWatch(t *testing.T) {
+// TestPoisonWithDelayedWatch checks the same bound when the entry VMs receive updates of the suspect list 50 ms
+// late.
+func TestPoisonWithDelayedWatch(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
 			runPoison(t, seed, 50*time.Millisecond, false)
@@ -55,7 +57,7 @@
 	}
 }
 
-// TestPoisonWithHandover keeps the bound when each request runs on two servers.
+// TestPoisonWithHandover checks the same bound when each request runs on a prefill and a decode server.
 func TestPoisonWithHandover(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
@@ -67,8 +69,9 @@
 	}
 }
 
-// TestPoisonWithCutOffWatch keeps the bound when the other entry VMs' watches bring nothing at all: they ask for the list.
-func TestPoisonWithCutOffWatch(t *testing.T) {
+// TestPoisonWithoutWatchUpdates checks the same bound when the entry VMs receive no updates of the suspect list and
+// have to fetch it.
+func TestPoisonWithoutWatchUpdates(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
 			runPoison(t, seed, time.Hour, false)
@@ -79,12 +82,14 @@
 	}
 }
 
-func runPoison(t *testing.T, seed uint64, lag time.Duration, roles bool) (innocents, suspected int) {
+// runPoison runs one random scenario and checks the number of crashed servers and the verdicts. It returns how many
+// innocent requests completed and how many requests became suspects.
+func runPoison(t *testing.T, seed uint64, updateDelay time.Duration, roles bool) (innocents, suspected int) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	w := newWorld(seed, 0)
+	w := newSimBackends(seed, 0)
 	w.poison = poisonMark
 	w.roles = roles
-	shared := &sharedSuspects{lag: lag, suspects: map[uint64]*daisyhatchv1.Suspect{}}
+	shared := &fakeControlVMs{updateDelay: updateDelay, suspects: map[uint64]*daisyhatchv1.Suspect{}}
 	ledger := newFakeLedger()
 	entries := make([]*executor.Executor, 4)
 	for i := range entries {
@@ -121,11 +126,11 @@
 		}
 	})
 	wg.Wait()
-	lost := 0
-	for _, n := range w.lost {
-		lost += n
+	crashes := 0
+	for _, n := range w.crashes {
+		crashes += n
 	}
-	assert.LessOrEqual(t, lost, maxServersLost)
+	assert.LessOrEqual(t, crashes, maxServersLost)
 	shared.checkConvicted(t, suspect.Fingerprint("huts", "chat", []byte(`{"messages":[{"role":"user","content":"#poison#`+w.padding()+`"}]}`)))
 	for _, e := range entries {
 		require.NoError(t, e.Wait(t.Context()))
@@ -133,16 +138,17 @@
 	return int(completed.Load()), len(shared.suspects)
 }
 
-// sharedSuspects is the control VMs' side: the first crash makes a suspect, a second one alone convicts.
-type sharedSuspects struct {
-	lag time.Duration
+// fakeControlVMs stands in for the control VMs: the first crash makes a request a suspect, and a later crash of the
+// request running alone convicts it.
+type fakeControlVMs struct {
+	updateDelay time.Duration
 
 	mu       sync.Mutex
 	suspects map[uint64]*daisyhatchv1.Suspect
 	entries  []*quarantine.Quarantine
 }
 
-func (s *sharedSuspects) ReportCrash(_ context.Context, c *daisyhatchv1.CrashCommand) (*daisyhatchv1.CrashResult, error) {
+func (s *fakeControlVMs) ReportCrash(_ context.Context, c *daisyhatchv1.CrashCommand) (*daisyhatchv1.CrashResult, error) {
 	time.Sleep(3 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,23 +170,23 @@
 			q.Update(list)
 		}
 	}
-	if s.lag == 0 {
+	if s.updateDelay == 0 {
 		push()
 	} else {
-		time.AfterFunc(s.lag, push)
+		time.AfterFunc(s.updateDelay, push)
 	}
 	return &daisyhatchv1.CrashResult{Suspects: list}, nil
 }
 
 // Suspects implements quarantine.Source.
-func (s *sharedSuspects) Suspects(context.Context) ([]*daisyhatchv1.Suspect, error) {
+func (s *fakeControlVMs) Suspects(context.Context) ([]*daisyhatchv1.Suspect, error) {
 	time.Sleep(time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list(), nil
 }
 
-func (s *sharedSuspects) list() []*daisyhatchv1.Suspect {
+func (s *fakeControlVMs) list() []*daisyhatchv1.Suspect {
 	list := make([]*daisyhatchv1.Suspect, 0, len(s.suspects))
 	for _, p := range s.suspects {
 		list = append(list, &daisyhatchv1.Suspect{Fingerprint: p.Fingerprint, State: p.State, ExpiresUnixMs: p.ExpiresUnixMs})
@@ -188,7 +194,8 @@
 	return list
 }
 
-func (s *sharedSuspects) checkConvicted(t *testing.T, only uint64) {
+// checkConvicted checks that the given fingerprint, and no other, is convicted.
+func (s *fakeControlVMs) checkConvicted(t *testing.T, only uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for f, p := range s.suspects {
@@ -197,18 +204,19 @@
 	}
 }
 
-// TestInnocentMayBeSentAgain sends a request again that completed alone after a server had crashed under it.
-func TestInnocentMayBeSentAgain(t *testing.T) {
+// TestInnocentRequestMayBeResent resends a request that completed when run alone, after a server had crashed while
+// running it.
+func TestInnocentRequestMayBeResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(1, 0)
-		w.always = crash
+		w := newSimBackends(1, 0)
+		w.fixedFault = crash
 		time.AfterFunc(60*time.Millisecond, func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.always = good
+			w.fixedFault = noFault
 		})
 		ledger := newFakeLedger()
-		q := quarantine.New(quarantine.Options{Reporter: &sharedSuspects{suspects: map[uint64]*daisyhatchv1.Suspect{}}, Ledger: ledger, Log: discard()})
+		q := quarantine.New(quarantine.Options{Reporter: &fakeControlVMs{suspects: map[uint64]*daisyhatchv1.Suspect{}}, Ledger: ledger, Log: discard()})
 		exec := executor.New(executor.Options{Slots: w, Engine: w, Ledger: ledger, Quarantine: q, Log: discard()})
 		for range 2 {
 			req := executor.Request{ID: time.Now().String(), Organisation: "huts", Plan: must(executor.PlanPipeline(testSet(), "chat"))}
--- a/pkg/executor/run.go
+++ b/pkg/executor/run.go
@@ -19,12 +19,13 @@
 // Executor runs requests. It is safe for concurrent use.
 type Executor struct {
 	opts      Options
-	lastProbe sometimes
-	// background counts work that outlives its request: cancels, settlements, crash reports.
+	lastProbe probeLimiter
+	// background counts goroutines that may outlive their request: attempts, with their crash reports, cancel calls and
+	// settlements.
 	background sync.WaitGroup
 }
 
-// New returns an Executor.
+// New returns an Executor. It fills in defaults for a nil Retries and Latency.
 func New(o Options) *Executor {
 	if o.Retries == nil {
 		o.Retries = retry.NewBudget(retry.DefaultShare, retry.DefaultReserve)
@@ -35,7 +36,8 @@
 	return &Executor{opts: o}
 }
 
-// Wait returns when all work that outlives its request is done, or ctx ends. Call it after the last Run returned.
+// Wait waits until all background work has ended, or returns the cause when ctx ends first. Call it after the last
+// Run has returned.
 func (e *Executor) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -50,8 +52,8 @@
 	}
 }
 
-// Run runs one request to its end and returns its whole answer. sink is needed for streams only; it is called from
-// the calling goroutine. Errors are *apierr.Error. When ctx ends, the caller is taken to be gone.
+// Run runs one request and returns its answer. sink is needed for streams only and is called from the calling
+// goroutine. Errors are of type *apierr.Error. The end of ctx means that the caller has disconnected.
 func (e *Executor) Run(ctx context.Context, req Request, sink Sink) (Result, error) {
 	if err := checkRequest(req, sink); err != nil {
 		return Result{}, err
@@ -62,12 +64,13 @@
 	close(r.done)
 	r.settle()
 	e.background.Go(func() {
-		r.open.Wait()
-		r.releaseSolo()
+		r.openAttempts.Wait()
+		r.releaseExclusive()
 	})
 	return r.result()
 }
 
+// checkRequest checks that a request can run at all.
 func checkRequest(req Request, sink Sink) error {
 	switch {
 	case req.Plan == nil || len(req.Plan.Steps) == 0:
@@ -81,59 +84,62 @@
 	}
 }
 
-// run is the runner of one request: it carries out the machine's actions.
-type run struct {
-	e     *Executor
-	req   *Request
-	sink  Sink
-	m     *machine
-	print uint64
-	in    input
-	// prior holds what the steps before the present one gave.
-	prior     gathered
+// runner carries out the actions of one request's machine and feeds it events.
+type runner struct {
+	e           *Executor
+	req         *Request
+	sink        Sink
+	m           *machine
+	fingerprint uint64
+	input       callerInput
+	// prior holds the outputs of the steps before priorStep.
+	prior     stageOutputs
 	priorStep int
 
-	// base is the context of attempts: it outlives the caller.
-	base      context.Context
-	cancelAll context.CancelFunc
-	cancels   []context.CancelFunc
-	costs     []StageResult
-	events    chan func(now time.Time) []action
-	done      chan struct{}
-	sinkErr   error
+	// attemptBase is the parent context of attempts. It is not cancelled when the caller disconnects.
+	attemptBase context.Context
+	cancelAll   context.CancelFunc
+	cancels     []context.CancelFunc
+	// costs holds the booked cost of each stage; stageResults fills in the other fields.
+	costs []StageResult
+	// events carries closures that the loop runs against the machine.
+	events  chan func(now time.Time) []action
+	done    chan struct{}
+	sinkErr error
 
-	// open counts the attempts that have not ended.
-	open        sync.WaitGroup
-	soloMu      sync.Mutex
-	soloRelease func(crashed bool)
-	// crashedAlone is set once an attempt that had its server to itself took it down.
+	// openAttempts counts the attempts that have not ended.
+	openAttempts sync.WaitGroup
+	exclusiveMu  sync.Mutex
+	// exclusiveRelease gives back the right to run a suspect request; nil while it is not held.
+	exclusiveRelease func(crashed bool)
+	// crashedAlone is set once an attempt that ran alone on its server crashed it.
 	crashedAlone atomic.Bool
 }
 
-func newRun(ctx context.Context, e *Executor, req Request, sink Sink) *run {
-	r := &run{
-		e:      e,
-		req:    &req,
-		sink:   sink,
-		print:  suspect.Fingerprint(req.Organisation, req.Plan.Name, req.Body),
-		in:     readInput(req.Body),
-		costs:  make([]StageResult, len(req.Plan.Stages)),
-		events: make(chan func(time.Time) []action),
-		done:   make(chan struct{}),
+func newRun(ctx context.Context, e *Executor, req Request, sink Sink) *runner {
+	r := &runner{
+		e:           e,
+		req:         &req,
+		sink:        sink,
+		fingerprint: suspect.Fingerprint(req.Organisation, req.Plan.Name, req.Body),
+		input:       parseCallerInput(req.Body),
+		costs:       make([]StageResult, len(req.Plan.Stages)),
+		events:      make(chan func(time.Time) []action),
+		done:        make(chan struct{}),
 	}
-	r.base, r.cancelAll = context.WithCancel(context.WithoutCancel(ctx))
-	r.m = newMachine(r.req, advice{e: e, plan: req.Plan}, e.opts.Invariants)
+	r.attemptBase, r.cancelAll = context.WithCancel(context.WithoutCancel(ctx))
+	r.m = newMachine(r.req, learnedPolicy{e: e, plan: req.Plan}, e.opts.Invariants)
 	return r
 }
 
-// loop feeds the machine until the request is finished.
-func (r *run) loop(ctx context.Context) {
+// loop feeds events to the machine until the request is finished.
+func (r *runner) loop(ctx context.Context) {
 	verdict := dispatch.Clear
 	if r.e.opts.Quarantine != nil {
-		verdict = r.e.opts.Quarantine.Check(r.print)
+		verdict = r.e.opts.Quarantine.Check(r.fingerprint)
 	}
 	finished := r.apply(r.m.start(time.Now(), verdict))
-	timer := time.NewTimer(time.Until(r.m.nextWake()))
+	timer := time.NewTimer(time.Until(r.m.nextTimer()))
 	defer timer.Stop()
 	gone := ctx.Done()
 	for !finished {
@@ -142,27 +148,27 @@
 		case ev := <-r.events:
 			out = ev(time.Now())
 		case <-timer.C:
-			out = r.m.wake(time.Now())
+			out = r.m.onTimer(time.Now())
 		case <-gone:
 			gone = nil
-			out = r.m.gone(time.Now())
+			out = r.m.onCallerGone(time.Now())
 		}
 		finished = r.apply(out)
 		if r.sinkErr != nil && !finished {
-			finished = r.apply(r.m.gone(time.Now()))
+			finished = r.apply(r.m.onCallerGone(time.Now()))
 		}
-		timer.Reset(time.Until(r.m.nextWake()))
+		timer.Reset(time.Until(r.m.nextTimer()))
 	}
 }
 
-// apply carries actions out. It returns true when the request is finished.
-func (r *run) apply(out []action) bool {
+// apply carries out actions. It returns true when the request is finished.
+func (r *runner) apply(out []action) bool {
 	for _, a := range out {
 		switch a.kind {
 		case actClaim:
 			go r.claim()
 		case actAttempt:
-			r.attempt(a.attempt, a.spec)
+			r.startAttempt(a.attempt, a.spec)
 		case actCancel:
 			r.cancels[a.attempt]()
 		case actDeliver:
@@ -174,9 +180,9 @@
 	return false
 }
 
-// post hands an event to the runner. It returns false when the request is finished; since the channel has
-// no buffer, no event is lost in between.
-func (r *run) post(ev func(now time.Time) []action) bool {
+// post sends an event to the loop. It returns false if the request has finished. The channel is unbuffered, so an
+// event that was accepted is always handled.
+func (r *runner) post(ev func(now time.Time) []action) bool {
 	select {
 	case r.events <- ev:
 		return true
@@ -185,28 +191,28 @@
 	}
 }
 
-// deliver hands one token to the caller.
-func (r *run) deliver(ev engine.Event) {
+// deliver sends one token to the caller, unless the sink returned an error before.
+func (r *runner) deliver(ev engine.Event) {
 	if r.sinkErr == nil {
 		r.sinkErr = r.sink(ev)
 	}
 }
 
-// prepare builds the body of a stage from what the steps before it gave.
-func (r *run) prepare(stage int) ([]byte, error) {
+// prepareBody builds the request body of a stage from the outputs of earlier steps.
+func (r *runner) prepareBody(stage int) ([]byte, error) {
 	for r.priorStep < r.m.step {
 		for _, i := range r.req.Plan.Steps[r.priorStep] {
-			if err := r.prior.gather(r.req.Plan.operation(i), r.m.stages[i].answer.Body); err != nil {
+			if err := r.prior.add(r.req.Plan.operation(i), r.m.stages[i].answer.Body); err != nil {
 				return nil, err
 			}
 		}
 		r.priorStep++
 	}
-	return stageBody(r.req.Plan.Stages[stage], r.req.Body, r.in, r.prior, r.m.streamed(stage))
+	return stageBody(r.req.Plan.Stages[stage], r.req.Body, r.input, r.prior, r.m.streamed(stage))
 }
 
-// result builds the request's answer once it is finished.
-func (r *run) result() (Result, error) {
+// result builds the answer of a finished request.
+func (r *runner) result() (Result, error) {
 	res := Result{Stages: r.stageResults(), Usage: r.m.usage}
 	if r.m.err != nil {
 		return res, r.m.err
@@ -222,20 +228,20 @@
 	return res, nil
 }
 
-// endStream gives the caller the explicit end of the stream.
-func (r *run) endStream(res Result) (Result, error) {
+// endStream sends the end event of the stream to the caller.
+func (r *runner) endStream(res Result) (Result, error) {
 	res.Streamed = true
 	if r.sinkErr == nil {
-		r.sinkErr = r.sink(engine.Event{Index: len(r.m.tokens), FinishReason: r.m.finish, Usage: r.m.usage, End: true})
+		r.sinkErr = r.sink(engine.Event{Index: len(r.m.tokens), FinishReason: r.m.finishReason, Usage: r.m.usage, End: true})
 	}
 	if r.sinkErr != nil {
-		return res, errGone().WithRun(apierr.MayHaveRun).Wrap(r.sinkErr)
+		return res, errCallerGone().WithRun(apierr.MayHaveRun).Wrap(r.sinkErr)
 	}
 	return res, nil
 }
 
-// lastAnswer takes the answer of the last step.
-func (r *run) lastAnswer(res *Result) {
+// lastAnswer copies the answer of the last step into res.
+func (r *runner) lastAnswer(res *Result) {
 	last := r.req.Plan.Steps[len(r.req.Plan.Steps)-1]
 	if len(last) == 1 {
 		a := r.m.stages[last[0]].answer
@@ -255,7 +261,8 @@
 	res.Body = joinAnswers(names, bodies)
 }
 
-func (r *run) stageResults() []StageResult {
+// stageResults returns one result for each stage that was started.
+func (r *runner) stageResults() []StageResult {
 	out := make([]StageResult, 0, len(r.costs))
 	for i, c := range r.costs {
 		s := r.m.stages[i]
@@ -275,14 +282,15 @@
 	return out
 }
 
-// book books the cost of one attempt that kept a server busy for d.
-func (r *run) book(stage int, d time.Duration, wasted bool) float64 {
+// book records the cost of an attempt that occupied a server for d, and returns it.
+func (r *runner) book(stage int, d time.Duration, wasted bool) float64 {
 	amount := cost.Of(d, r.req.Plan.Stages[stage].Pool.CostPerSecond)
 	r.e.opts.Costs.Add(r.account(stage), amount, wasted)
 	return amount
 }
 
-func (r *run) account(stage int) cost.Account {
+// account returns the account to which a stage's cost is booked.
+func (r *runner) account(stage int) cost.Account {
 	return cost.Account{
 		Pipeline:     r.req.Plan.Name,
 		Organisation: r.req.Organisation,
--- a/pkg/executor/world_kv_test.go
+++ b/pkg/executor/sim_kv_test.go
@@ -7,14 +7,15 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-func (w *world) keepKV(t engine.Target, attempt, caller string) {
+// keepKV stores the KV cache of an attempt on a server, represented by the mark of its request.
+func (w *simBackends) keepKV(t engine.Target, attempt, caller string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.kv[t.Server+" "+attempt] = caller
 }
 
-// useKV takes the KV cache that was imported for a call.
-func (w *world) useKV(t engine.Target, c engine.Call) {
+// useKV consumes the KV cache that was imported for a call, if any, and checks that it belongs to the same request.
+func (w *simBackends) useKV(t engine.Target, c engine.Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	key := t.Server + " " + c.AttemptID
@@ -24,19 +25,19 @@
 	}
 	delete(w.kv, key)
 	w.kvUsed++
-	if caller != callerOf(c.Body) {
+	if caller != requestMark(c.Body) {
 		w.kvCrossed++
 	}
 }
 
-// moveKV applies the faults of a hand-over call.
-func (w *world) moveKV(ctx context.Context, t engine.Target, which int) error {
+// transferKV simulates a KV export (which 0) or import (which 1) with its delay and faults.
+func (w *simBackends) transferKV(ctx context.Context, t engine.Target, which int) error {
 	fail := func(k engine.Kind, sent bool) error {
-		return &engine.Error{Kind: k, Server: t.Server, Sent: sent, Err: errWorld}
+		return &engine.Error{Kind: k, Server: t.Server, Sent: sent, Err: errInjected}
 	}
 	f, d := w.draw()
-	if w.only != nil {
-		f = good
+	if w.faultFilter != nil {
+		f = noFault
 	}
 	select {
 	case <-time.After(d / 4):
@@ -51,7 +52,7 @@
 		return fail(k, true)
 	case w.isDown(t.Server):
 		return fail(engine.Refused, false)
-	case f == serverError, f == silent, f == gap:
+	case f == serverError, f == silent, f == missingToken:
 		return fail(engine.Failed, true)
 	case f == partialWrite:
 		return fail(engine.Crashed, true)
@@ -60,22 +61,22 @@
 }
 
 // ExportKV implements engine.Client.
-func (w *world) ExportKV(ctx context.Context, t engine.Target, attempt string) ([]byte, error) {
-	if err := w.moveKV(ctx, t, 0); err != nil {
+func (w *simBackends) ExportKV(ctx context.Context, t engine.Target, attempt string) ([]byte, error) {
+	if err := w.transferKV(ctx, t, 0); err != nil {
 		return nil, err
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	caller, ok := w.kv[t.Server+" "+attempt]
 	if !ok {
-		return nil, &engine.Error{Kind: engine.Rejected, Server: t.Server, Sent: true, Err: errWorld}
+		return nil, &engine.Error{Kind: engine.Rejected, Server: t.Server, Sent: true, Err: errInjected}
 	}
 	return []byte(caller), nil
 }
 
 // ImportKV implements engine.Client.
-func (w *world) ImportKV(ctx context.Context, t engine.Target, attempt string, data []byte) error {
-	if err := w.moveKV(ctx, t, 1); err != nil {
+func (w *simBackends) ImportKV(ctx context.Context, t engine.Target, attempt string, data []byte) error {
+	if err := w.transferKV(ctx, t, 1); err != nil {
 		return err
 	}
 	w.keepKV(t, attempt, string(data))
--- a/pkg/executor/slotwait_test.go
+++ b/pkg/executor/slotwait_test.go
@@ -16,7 +16,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/executor"
 )
 
-// slowSlots hands each slot out after a wait, unless the request's deadline comes first.
+// slowSlots grants each slot after a delay, or fails if the request's deadline passes first.
 type slowSlots struct{ wait time.Duration }
 
 func (s *slowSlots) Acquire(ctx context.Context, r dispatch.SlotRequest) (dispatch.Slot, error) {
@@ -26,10 +26,11 @@
 	case <-time.After(s.wait):
 		return freeSlot{}, nil
 	case <-ctx.Done():
-		return nil, apierr.New(http.StatusServiceUnavailable, apierr.NoCapacity, "no room")
+		return nil, apierr.New(http.StatusServiceUnavailable, apierr.NoCapacity, "no free slot")
 	}
 }
 
+// freeSlot is a slot that is always valid.
 type freeSlot struct{}
 
 func (freeSlot) Target() engine.Target { return engine.Target{Server: "s"} }
@@ -37,10 +38,10 @@
 func (freeSlot) Valid() bool           { return true }
 func (freeSlot) Done(dispatch.Report)  {}
 
-// evenEngine answers look-ups and rankings each after their own time.
-type evenEngine struct{ engine.Client }
+// fixedLatencyEngine answers rerank calls after 1 s and all others after 20 ms.
+type fixedLatencyEngine struct{ engine.Client }
 
-func (evenEngine) Call(_ context.Context, _ engine.Target, c engine.Call) (engine.Answer, error) {
+func (fixedLatencyEngine) Call(_ context.Context, _ engine.Target, c engine.Call) (engine.Answer, error) {
 	took := 20 * time.Millisecond
 	if c.Operation == engine.Rerank {
 		took = time.Second
@@ -49,9 +50,9 @@
 	return engine.Answer{AttemptID: c.AttemptID, Status: http.StatusOK, Body: []byte(`{"documents":["a"]}`)}, nil
 }
 
-// A stage that waits for a slot longer than its usual share goes on while the stages behind it still fit into the
-// deadline. A failure domain's leaving and return makes such waits.
-func TestSlotIsAwaitedWhileTheDeadlineCanBeMet(t *testing.T) {
+// TestSlotWaitMayExceedStageShare guards against failing a stage whose wait for a slot exceeds its usual share of
+// the deadline although the later stages still fit. Such waits occur when a failure domain leaves and returns.
+func TestSlotWaitMayExceedStageShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		find := &config.Stage{Name: "find", Pool: "p", Operation: "retrieve", Repeatable: true, Minimum: 10 * time.Millisecond}
 		rank := &config.Stage{Name: "rank", Pool: "p", Operation: "rerank", Repeatable: true, Minimum: 10 * time.Millisecond}
@@ -61,7 +62,7 @@
 			Stages: []executor.PlanStage{{Spec: find, Pool: pool}, {Spec: rank, Pool: pool}},
 		}
 		slots := &slowSlots{}
-		exec := executor.New(executor.Options{Slots: slots, Engine: evenEngine{}})
+		exec := executor.New(executor.Options{Slots: slots, Engine: fixedLatencyEngine{}})
 		run := func() error {
 			r := executor.Request{ID: "r", Plan: plan, Body: []byte(`{"query":"x"}`), Deadline: time.Now().Add(5 * time.Second)}
 			_, err := exec.Run(t.Context(), r, nil)
@@ -75,8 +76,8 @@
 	})
 }
 
-// The stage's own timeout caps the call, not the wait for a place on a server.
-func TestStageTimeoutRunsFromTheSlotOn(t *testing.T) {
+// TestStageTimeoutStartsAtSlot checks that the stage's own timeout limits the call but not the wait for a slot.
+func TestStageTimeoutStartsAtSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool := &config.Pool{Name: "p"}
 		run := func(operation string) error {
@@ -84,7 +85,7 @@
 			plan := &executor.Plan{
 				Name: "p", Deadline: 5 * time.Second, Steps: [][]int{{0}}, Stages: []executor.PlanStage{{Spec: stage, Pool: pool}},
 			}
-			exec := executor.New(executor.Options{Slots: &slowSlots{wait: time.Second}, Engine: cutEngine{}})
+			exec := executor.New(executor.Options{Slots: &slowSlots{wait: time.Second}, Engine: cancellableEngine{}})
 			r := executor.Request{ID: "r", Plan: plan, Body: []byte(`{"query":"x"}`), Deadline: time.Now().Add(5 * time.Second)}
 			_, err := exec.Run(t.Context(), r, nil)
 			return err
@@ -94,17 +95,17 @@
 	})
 }
 
-// cutEngine is evenEngine whose calls end with their context.
-type cutEngine struct{ evenEngine }
+// cancellableEngine is a fixedLatencyEngine whose calls fail if their context ended meanwhile.
+type cancellableEngine struct{ fixedLatencyEngine }
 
-func (e cutEngine) Call(ctx context.Context, t engine.Target, c engine.Call) (engine.Answer, error) {
-	a, err := e.evenEngine.Call(ctx, t, c)
+func (e cancellableEngine) Call(ctx context.Context, t engine.Target, c engine.Call) (engine.Answer, error) {
+	a, err := e.fixedLatencyEngine.Call(ctx, t, c)
 	if ctx.Err() != nil {
 		return engine.Answer{}, &engine.Error{Kind: engine.Canceled, Server: t.Server, Sent: true, Err: ctx.Err()}
 	}
 	return a, err
 }
 
-func (cutEngine) Probe(context.Context, engine.Target) error { return nil }
+func (cancellableEngine) Probe(context.Context, engine.Target) error { return nil }
 
-func (cutEngine) Cancel(context.Context, engine.Target, string) error { return nil }
+func (cancellableEngine) Cancel(context.Context, engine.Target, string) error { return nil }
