--- a/pkg/daemon/fleet.go
+++ b/pkg/daemon/fleet.go
@@ -153,12 +153,12 @@
 	f.control = fleet.NewControl(fleet.ControlOptions{
 		VM: f.consensusName(), Address: f.peerAddress(), Incarnation: f.incarnation, LossesBorne: f.settings.Fleet.LossesBorne,
 		Node: f.node, Machine: machine, State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, HTTP: p.client,
-		Suspects: f.suspects.Learn, Log: k.Log().WithName("control"),
+		Suspects: f.suspects.UpdateSuspects, Log: k.Log().WithName("control"),
 	}, stages)
-	reporter.PreferOwn(f.control)
+	reporter.PreferLocal(f.control)
 	p.handle(f.control.Handler(compressLarge()))
 	r := chi.NewRouter()
-	f.dialect.Operators(r, f.control)
+	f.dialect.AddControlRoutes(r, f.control)
 	f.operators = listen.New(listen.Options{
 		Name: "operators", Address: f.settings.Listen.Operators.String(), Handler: r, Network: f.network, Log: k.Log(),
 	})
@@ -172,7 +172,7 @@
 		view.vm = f.settings.VM.Name
 	}
 	return stagecall.NewRunner(stagecall.Options{
-		View: view, Dialect: f.dialect, Pool: f.pool, Asides: upstream.NewPool(nil), Suspects: f.suspects, MayCall: mayCall,
+		View: view, Dialect: f.dialect, Pool: f.pool, AuxPool: upstream.NewPool(nil), Suspects: f.suspects, MayCall: mayCall,
 		Release: release, Log: k.Log().WithName("stages"),
 	})
 }
@@ -211,20 +211,20 @@
 
 // Stop implements kernel.Service.
 func (f *fleetControl) Stop(ctx context.Context) error {
-	f.control.ReleaseStages(ctx)
+	f.control.ReleaseStageOwnership(ctx)
 	err := f.operators.Stop(ctx)
 	f.cancel()
 	<-f.done
 	return errors.Join(err, f.node.Stop(ctx))
 }
 
-// aloneRate is how many jobs of a service this VM may have made alone in a second; see stagecall.AloneRate.
+// aloneRate is how many jobs of a service this VM may have made alone in a second; see stagecall.StandaloneRate.
 func (f *fleetEntry) aloneRate(service string, now time.Time) float64 {
 	set := f.state.Catalog()
 	if set == nil || set.Services[service] == nil || set.Services[service].Batch == nil {
 		return 0
 	}
-	return stagecall.AloneRate(*set.Services[service].Batch, len(f.state.Serving(service, now)), len(f.state.Entries(now)))
+	return stagecall.StandaloneRate(*set.Services[service].Batch, len(f.state.Serving(service, now)), len(f.state.Entries(now)))
 }
 
 // stageView shows the State to the stage runner.
@@ -241,7 +241,7 @@
 		out = append(out, stagecall.Server{ID: c.ID, Address: c.Address, Domain: c.Domain, Born: c.Born, Quiet: c.Quiet})
 	}
 	if v.vm != "" {
-		stagecall.SpreadFor(v.vm, out)
+		stagecall.OrderServersFor(v.vm, out)
 	}
 	return out
 }
@@ -280,7 +280,7 @@
 	}
 	o := fleet.FollowerOptions{
 		VM: f.settings.VM.Name, Incarnation: f.incarnation, Entry: f.settings.VM.Entry(), Domain: f.settings.VM.FailureDomain,
-		State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, Suspects: f.suspects.Learn, HTTP: p.client,
+		State: f.state, Roster: f.roster, Parse: f.dialect.Catalog, Suspects: f.suspects.UpdateSuspects, HTTP: p.client,
 		Log: k.Log().WithName("follow"),
 	}
 	if f.settings.VM.Control() {
@@ -385,14 +385,14 @@
 	}
 	s := f.settings.Fleet
 	f.relay = relay.New(relay.Options{
-		VM: f.settings.VM.Name, FailureDomain: f.settings.VM.FailureDomain, Dialect: f.dialect, Knowledge: f.state,
+		VM: f.settings.VM.Name, FailureDomain: f.settings.VM.FailureDomain, Dialect: f.dialect, View: f.state,
 		Stages: stageclient.New(stageclient.Options{
-			Known: f.state, Heard: w.follower.Heard, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
+			Owners: f.state, ControlHeard: w.follower.Connected, HTTP: w.client, Local: f.stageRunner(k, nil, nil), Rate: f.aloneRate,
 			Log: k.Log().WithName("stages"),
 		}),
 		Pool:        f.pool,
 		Suspects:    f.suspects,
-		Repeats:     allowance.NewRepeats(s.RetryRatio, s.RetryExtra, s.RetryWindow),
+		Repeats:     allowance.NewRetryBudget(s.RetryRatio, s.RetryExtra, s.RetryWindow),
 		ColdOverrun: s.ColdOverrun, ColdExtra: s.ColdExtra, Log: k.Log().WithName("relay"),
 	})
 	o.addCheck("configuration", f.ready)
