--- a/pkg/executor/attempt.go
+++ b/pkg/executor/attempt.go
@@ -36,11 +36,12 @@
 // errSlotExpired fails an attempt whose slot expired before anything was sent.
 var errSlotExpired = errors.New("executor: slot expired before sending")
 
-// Soloist is implemented by quarantines that let only one VM at a time run a suspect request.
-type Soloist interface {
-	// Solo acquires the exclusive right to run the fingerprint. It returns an *apierr.Error with NotRun while
-	// another VM holds it. The caller calls release once, with crashed true when the request crashed its server.
-	Solo(ctx context.Context, fingerprint uint64, deadline time.Time) (release func(crashed bool), err error)
+// ExclusiveRunner is implemented by quarantines that let only one VM at a time run a suspect request.
+type ExclusiveRunner interface {
+	// AcquireExclusive acquires the exclusive right to run the fingerprint. It returns an *apierr.Error with NotRun
+	// while another VM holds it. The caller calls release once, with crashed true when the request crashed its
+	// server.
+	AcquireExclusive(ctx context.Context, fingerprint uint64, deadline time.Time) (release func(crashed bool), err error)
 }
 
 // attemptRunner runs one attempt at a stage, in its own goroutine.
@@ -253,7 +254,7 @@
 // acquireExclusive acquires the right to run a suspect request, which only one VM holds at a time. All attempts of
 // the request share it.
 func (t *attemptRunner) acquireExclusive() error {
-	s, ok := t.r.e.opts.Quarantine.(Soloist)
+	s, ok := t.r.e.opts.Quarantine.(ExclusiveRunner)
 	if !t.spec.alone || !ok {
 		return nil
 	}
@@ -262,7 +263,7 @@
 	if t.r.exclusiveRelease != nil {
 		return nil
 	}
-	release, err := s.Solo(t.ctx, t.r.fingerprint, t.r.req.Deadline)
+	release, err := s.AcquireExclusive(t.ctx, t.r.fingerprint, t.r.req.Deadline)
 	t.r.exclusiveRelease = release
 	return err
 }
--- a/pkg/quarantine/claim.go
+++ b/pkg/quarantine/claim.go
@@ -26,10 +26,10 @@
 // crashedOutcome is stored in the ledger for a suspect that crashed its server while it ran alone.
 var crashedOutcome = dispatch.Outcome{Status: http.StatusUnprocessableEntity}
 
-// Solo claims the exclusive right to run a suspect, which one VM holds at a time. The release func must be called once,
-// with true when the run crashed its server: this is stored in the ledger, so that a VM that has not heard of the
-// conviction yet can't run the suspect either. Errors are *apierr.Error with NotRun.
-func (q *Quarantine) Solo(ctx context.Context, fingerprint uint64, deadline time.Time) (release func(crashed bool), err error) {
+// AcquireExclusive claims the exclusive right to run a suspect, which one VM holds at a time. The release func must be
+// called once, with true when the run crashed its server: this is stored in the ledger, so that a VM that has not heard
+// of the conviction yet can't run the suspect either. Errors are *apierr.Error with NotRun.
+func (q *Quarantine) AcquireExclusive(ctx context.Context, fingerprint uint64, deadline time.Time) (release func(crashed bool), err error) {
 	if q.Check(fingerprint) == dispatch.Convicted {
 		return nil, errConvicted()
 	}
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -242,28 +242,28 @@
 	l := &fakeLedger{claims: map[string]string{}}
 	a, b := newQuarantineWithLedger(l), newQuarantineWithLedger(l)
 	deadline := time.Now().Add(time.Second)
-	release, err := a.Solo(t.Context(), 1, deadline)
+	release, err := a.AcquireExclusive(t.Context(), 1, deadline)
 	require.NoError(t, err)
-	_, err = b.Solo(t.Context(), 1, deadline)
+	_, err = b.AcquireExclusive(t.Context(), 1, deadline)
 	require.Equal(t, apierr.NoCapacity, apierr.From(err).Code)
 	require.Equal(t, apierr.NotRun, apierr.From(err).Run)
 	release(false)
-	release, err = b.Solo(t.Context(), 1, deadline)
+	release, err = b.AcquireExclusive(t.Context(), 1, deadline)
 	require.NoError(t, err, "a suspect that crashed no server may run again")
 	release(true)
-	_, err = a.Solo(t.Context(), 1, deadline)
+	_, err = a.AcquireExclusive(t.Context(), 1, deadline)
 	require.Equal(t, apierr.RequestQuarantined, apierr.From(err).Code, "the ledger must refuse a suspect that crashed its server, without a list")
 }
 
 func TestSuspectIsClaimableAfterHolderLost(t *testing.T) {
 	l := &fakeLedger{claims: map[string]string{}}
 	q := newQuarantineWithLedger(l)
-	_, err := q.Solo(t.Context(), 1, time.Now().Add(time.Second))
+	_, err := q.AcquireExclusive(t.Context(), 1, time.Now().Add(time.Second))
 	require.NoError(t, err)
 	for k := range l.claims {
 		l.claims[k] = "lost"
 	}
-	_, err = q.Solo(t.Context(), 1, time.Now().Add(time.Second))
+	_, err = q.AcquireExclusive(t.Context(), 1, time.Now().Add(time.Second))
 	require.NoError(t, err, "a suspect must not be refused because a VM was lost")
 }
 
