--- a/pkg/executor/accounting_test.go
+++ b/pkg/executor/accounting_test.go
@@ -34,7 +34,7 @@
 // watchedSlots adds up, at each release of a slot, the calls that the quarantine still counts as in flight.
 type watchedSlots struct {
 	w              *simBackends
-	flights        *inFlightCounter
+	inFlight       *inFlightCounter
 	inFlightAtDone atomic.Int64
 }
 
@@ -52,7 +52,7 @@
 }
 
 func (w watchedSlot) Done(r dispatch.Report) {
-	w.s.inFlightAtDone.Add(w.s.flights.Load())
+	w.s.inFlightAtDone.Add(w.s.inFlight.Load())
 	w.Slot.Done(r)
 }
 
@@ -62,7 +62,7 @@
 func TestQuarantineCallEndsBeforeSlotRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, f := newSimBackends(1, 0), &inFlightCounter{}
-		s := &watchedSlots{w: w, flights: f}
+		s := &watchedSlots{w: w, inFlight: f}
 		e := executor.New(executor.Options{Slots: s, Engine: w, Quarantine: f, Log: discard()})
 		plan := must(executor.PlanPipeline(testSet(), "chain"))
 		_, err := e.Run(t.Context(), executor.Request{ID: "r", Plan: plan, Body: []byte("#r#"), Deadline: time.Now().Add(time.Second)}, nil)
--- a/pkg/executor/guarantees_test.go
+++ b/pkg/executor/guarantees_test.go
@@ -58,6 +58,7 @@
 
 // randomRequest is one request of a random run.
 type randomRequest struct {
+	// id marks the request's body and is its idempotency key.
 	id       string
 	plan     *executor.Plan
 	stream   bool
@@ -139,7 +140,7 @@
 	}
 	res, err := e.Run(ctx, req, sink.receive)
 	// Storing an outcome may delay the answer; the fake ledger stores it at once.
-	assert.LessOrEqual(t, time.Since(began), tr.deadline+25*time.Millisecond, "%s answered late", tr.id)
+	assert.LessOrEqual(t, time.Since(began), tr.deadline+25*time.Millisecond, "%s answered after its deadline", tr.id)
 	if err != nil {
 		checkError(t, w, l, tr, &sink, apierr.From(err), count)
 		return
--- a/pkg/executor/handover_latency_test.go
+++ b/pkg/executor/handover_latency_test.go
@@ -23,7 +23,7 @@
 )
 
 var (
-	// latencySeeds, latencyRunTime and latencyLoad set the size of TestHandoverLatency.
+	// Flags that set the extent of TestHandoverLatency.
 	latencySeeds   = flag.Int("relay.seeds", 1, "number of seeds for each case")
 	latencyRunTime = flag.Duration("relay.time", 5*time.Second, "length of each run in virtual time")
 	latencyLoad    = flag.Float64("relay.load", 12, "requests per second")
@@ -54,6 +54,7 @@
 	s.f.busy[s.i]--
 }
 
+// Acquire waits for a free slot; requests for spare capacity fail at once.
 func (f *leastBusySlots) Acquire(ctx context.Context, r dispatch.SlotRequest) (dispatch.Slot, error) {
 	for {
 		if s := f.tryAcquire(r.Role); s != nil {
--- a/pkg/executor/handover_runner.go
+++ b/pkg/executor/handover_runner.go
@@ -95,21 +95,21 @@
 // runHandover runs the prompt on the prefill server, generates on the decode server, and reports the outcome to the
 // machine.
 func (t *attemptRunner) runHandover(p slotPair) {
-	h := &handoverRunner{attemptRunner: t, handoverState: newHandover(), slotPair: p, began: time.Now()}
-	o, early := h.runPrefill()
+	h := &handoverRunner{attemptRunner: t, handoverState: newHandoverState(), slotPair: p, began: time.Now()}
+	o, prefillTime := h.runPrefill()
 	if h.step == stepEnd {
 		handoversFailed.Inc()
 		p.decode.Done(dispatch.Report{Abandoned: true})
-		t.finish(o, early)
+		t.finish(o, prefillTime)
 		return
 	}
-	o, late := h.runDecode()
+	o, decodeTime := h.runDecode()
 	o.failure = h.withSent(o.failure)
 	switch {
 	case h.step == stepDecodeOnly:
 		handoversFellBack.Inc()
-		t.bookWaste(early)
-		early = 0
+		t.bookWaste(prefillTime)
+		prefillTime = 0
 	case o.failure != nil:
 		handoversFailed.Inc()
 	default:
@@ -118,7 +118,7 @@
 	if o.failure == nil {
 		t.recordLatency(o, time.Since(h.began))
 	}
-	t.finish(o, early+late)
+	t.finish(o, prefillTime+decodeTime)
 }
 
 // runPrefill runs the prompt and exports its KV cache. It skips both if the slot has expired.
@@ -139,7 +139,7 @@
 	return o, took
 }
 
-// prefillAndExport makes the calls on the prefill server.
+// prefillAndExport runs the prompt on the prefill server and exports its KV cache from there.
 func (h *handoverRunner) prefillAndExport(target engine.Target, call engine.Call) outcome {
 	answer, err := h.r.e.opts.Engine.Call(h.ctx, target, call)
 	if err != nil {
@@ -173,7 +173,7 @@
 	return o, took
 }
 
-// generate makes the calls on the decode server.
+// generate imports the KV cache, if there is one, and generates the answer on the decode server.
 func (h *handoverRunner) generate(target engine.Target) outcome {
 	if h.step == stepImport {
 		var failure *engine.Error
--- a/pkg/executor/handover_state.go
+++ b/pkg/executor/handover_state.go
@@ -28,7 +28,7 @@
 	sent bool
 }
 
-func newHandover() *handoverState { return &handoverState{step: stepPrefill} }
+func newHandoverState() *handoverState { return &handoverState{step: stepPrefill} }
 
 // advance moves on after the current step; failure is nil if it succeeded. If the KV cache could not be transferred,
 // the attempt continues without it. The attempt ends if a server crashed, if the prefill server rejected the
--- a/pkg/executor/handover_state_test.go
+++ b/pkg/executor/handover_state_test.go
@@ -38,7 +38,7 @@
 // TestHandoverFailureReportsSent checks that a failure on one server is marked as sent once the other server was
 // sent the prompt.
 func TestHandoverFailureReportsSent(t *testing.T) {
-	h := newHandover()
+	h := newHandoverState()
 	refused := &engine.Error{Kind: engine.Refused}
 	require.False(t, h.withSent(refused).Sent, "nothing was sent yet")
 	h.advance(nil, false)
--- a/pkg/executor/poison_test.go
+++ b/pkg/executor/poison_test.go
@@ -145,7 +145,8 @@
 
 	mu       sync.Mutex
 	suspects map[uint64]*daisyhatchv1.Suspect
-	entries  []*quarantine.Quarantine
+	// entries are the quarantines of the entry VMs, which receive each update of the list after updateDelay.
+	entries []*quarantine.Quarantine
 }
 
 func (s *fakeControlVMs) ReportCrash(_ context.Context, c *daisyhatchv1.CrashCommand) (*daisyhatchv1.CrashResult, error) {
--- a/pkg/executor/run.go
+++ b/pkg/executor/run.go
@@ -58,7 +58,7 @@
 	if err := checkRequest(req, sink); err != nil {
 		return Result{}, err
 	}
-	r := newRun(ctx, e, req, sink)
+	r := newRunner(ctx, e, req, sink)
 	defer r.cancelAll()
 	r.loop(ctx)
 	close(r.done)
@@ -116,7 +116,7 @@
 	crashedAlone atomic.Bool
 }
 
-func newRun(ctx context.Context, e *Executor, req Request, sink Sink) *runner {
+func newRunner(ctx context.Context, e *Executor, req Request, sink Sink) *runner {
 	r := &runner{
 		e:           e,
 		req:         &req,
--- a/pkg/executor/sim_test.go
+++ b/pkg/executor/sim_test.go
@@ -138,7 +138,7 @@
 	return fault(1 + w.rng.IntN(int(faultCount)-1)), d
 }
 
-// Acquire implements dispatch.Slots.
+// Acquire implements dispatch.Slots. It refuses some requests at random and otherwise waits for a free server.
 func (w *simBackends) Acquire(ctx context.Context, r dispatch.SlotRequest) (dispatch.Slot, error) {
 	w.mu.Lock()
 	wait := time.Duration(w.rng.IntN(5)) * time.Millisecond
@@ -193,8 +193,10 @@
 	w     *simBackends
 	name  string
 	alone bool
+	// valid is false when the slot has expired, which happens at random.
 	valid bool
-	done  int
+	// done counts how often the slot was released.
+	done int
 }
 
 func (s *simSlot) Target() engine.Target {
@@ -395,12 +397,13 @@
 
 // simStream is a streamed answer whose fault, if any, occurs at token breakAt.
 type simStream struct {
-	w             *simBackends
-	t             engine.Target
-	c             engine.Call
-	fault         fault
-	tokens        []string
-	next          int
+	w      *simBackends
+	t      engine.Target
+	c      engine.Call
+	fault  fault
+	tokens []string
+	next   int
+	// breakAt is the index of the token at which the fault occurs.
 	breakAt       int
 	duplicateSent bool
 }
