--- a/pkg/grantservice/service.go
+++ b/pkg/grantservice/service.go
@@ -111,7 +111,7 @@
 	defer s.mu.Unlock()
 	s.configure()
 	s.grantor.Announce(a, time.Now())
-	return connect.NewResponse(&daisyhatchv1.AnnounceResponse{RenewMs: grant.AnnounceEvery.Milliseconds()}), nil
+	return connect.NewResponse(&daisyhatchv1.AnnounceResponse{RenewMs: grant.BaseAnnounceInterval.Milliseconds()}), nil
 }
 
 // Acquire implements GrantService. It returns FailedPrecondition when the request contains a number that is unknown in
@@ -141,7 +141,7 @@
 func (s *Service) Held() []grant.HeldServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.grantor.Held(time.Now())
+	return s.grantor.HeldServers(time.Now())
 }
 
 // configure passes the configuration that the state machine has applied to the grantor.
--- a/pkg/slots/cluster_test.go
+++ b/pkg/slots/cluster_test.go
@@ -198,7 +198,7 @@
 	c.entries = append(c.entries, e)
 }
 
-// announce sends the servers' announcements with their current load every grant.AnnounceEvery.
+// announce sends the servers' announcements with their current load every grant.BaseAnnounceInterval.
 func (c *cluster) announce(ctx context.Context) {
 	defer c.done.Done()
 	for {
@@ -208,7 +208,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(grant.AnnounceEvery):
+		case <-time.After(grant.BaseAnnounceInterval):
 		}
 	}
 }
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -229,7 +229,7 @@
 		return true
 	}
 	hasRoom := false
-	s.holder.Usable(p.name, first.Value.request.Alone, now, func(*grant.Held) { hasRoom = true })
+	s.holder.Usable(p.name, first.Value.request.Alone, now, func(*grant.HeldGrant) { hasRoom = true })
 	if !hasRoom {
 		return false
 	}
