--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -65,7 +65,7 @@
 	return answer{
 		status: resp.StatusCode,
 		body:   string(body),
-		stages: resp.Header.Get(gateway.HeaderCost),
+		stages: resp.Header.Get(gateway.HeaderStages),
 		run:    resp.Header.Get(gateway.HeaderRun),
 		replay: resp.Header.Get("Idempotent-Replayed") == "true",
 		took:   time.Since(begin),
--- a/pkg/gateway/headers.go
+++ b/pkg/gateway/headers.go
@@ -29,8 +29,8 @@
 	HeaderRequestID = "X-Daisyhatch-Request-Id"
 	// HeaderRun says whether a failed request may have run: not_run or may_have_run.
 	HeaderRun = "X-Daisyhatch-Run"
-	// HeaderCost holds the duration and cost of each stage, in the format of formatStages.
-	HeaderCost = "X-Daisyhatch-Stages"
+	// HeaderStages holds the duration and cost of each stage, in the format of formatStages.
+	HeaderStages = "X-Daisyhatch-Stages"
 )
 
 // MaxIdempotencyKeyBytes is the largest length of an idempotency key.
--- a/pkg/gateway/requests.go
+++ b/pkg/gateway/requests.go
@@ -193,7 +193,7 @@
 	defer release()
 	res, err := g.Executor.Run(c.r.Context(), r, nil)
 	g.recordResult(c, r, res, err)
-	c.w.Header().Set(HeaderCost, formatStages(res.Stages))
+	c.w.Header().Set(HeaderStages, formatStages(res.Stages))
 	if err != nil {
 		return err
 	}
