--- a/pkg/ledgerclient/errors.go
+++ b/pkg/ledgerclient/errors.go
@@ -12,13 +12,15 @@
 	"github.com/daisyhatch/daisyhatch/pkg/dispatch"
 )
 
-// Times after which callers are told to come back.
+// Retry delays sent to callers with errors of the ledger.
 const (
 	pendingRetryAfter     = time.Second
 	unavailableRetryAfter = 2 * time.Second
 	fullRetryAfter        = 30 * time.Second
 )
 
+// stateError returns the *apierr.Error for a claim that was not granted and has no stored outcome. It says that the
+// request may have run unless the state rules that out.
 func stateError(s daisyhatchv1.ClaimState) error {
 	switch s {
 	case daisyhatchv1.ClaimState_CLAIM_STATE_PENDING:
@@ -40,24 +42,27 @@
 		return apierr.New(http.StatusServiceUnavailable, apierr.LedgerUnavailable,
 			"the record of not-repeatable requests is full").After(fullRetryAfter)
 	default:
-		return unavailable()
+		return unavailableError()
 	}
 }
 
+// claimError returns the *apierr.Error for a failed call of Claim: bad_request if the ledger rejects the key, otherwise
+// ledger_unavailable.
 func claimError(err error) error {
 	if connect.CodeOf(err) == connect.CodeInvalidArgument {
 		return apierr.New(http.StatusBadRequest, apierr.BadRequest, "the idempotency key is not acceptable").Wrap(err)
 	}
-	return unavailable().Wrap(err)
+	return unavailableError().Wrap(err)
 }
 
-func unavailable() *apierr.Error {
+func unavailableError() *apierr.Error {
 	return apierr.New(http.StatusServiceUnavailable, apierr.LedgerUnavailable,
 		"the record of not-repeatable requests can't be reached; send the request again with the same key").
 		WithRun(apierr.MayHaveRun).After(unavailableRetryAfter)
 }
 
-// createdUnixMs returns when a key was made: a UUID of version 7 tells it. 0 means that the key doesn't tell.
+// createdUnixMs returns the creation time of a key in Unix milliseconds if the key is a version 7 UUID, which contains
+// it, and 0 otherwise.
 func createdUnixMs(k dispatch.ClaimKey) int64 {
 	id, err := uuid.Parse(k.Key)
 	if err != nil || id.Version() != 7 {
--- a/pkg/ledgerclient/ledgerclient.go
+++ b/pkg/ledgerclient/ledgerclient.go
@@ -1,5 +1,5 @@
-// Package ledgerclient is an entry VM's side of the claim ledger: it implements dispatch.Ledger over the control VMs'
-// EntryService.
+// Package ledgerclient is the entry VMs' client of the claim ledger. It implements dispatch.Ledger by calling the
+// EntryService of the control VMs.
 package ledgerclient
 
 import (
@@ -19,33 +19,33 @@
 	"github.com/daisyhatch/daisyhatch/pkg/dispatch"
 )
 
-// Times and limits of the client.
+// Timeouts and limits of the client.
 const (
-	// callTimeout is how long one control VM is waited for.
+	// callTimeout is the timeout of one call to a control VM.
 	callTimeout = 1500 * time.Millisecond
-	// retryPause is the mean pause between two tries.
-	retryPause = 30 * time.Millisecond
-	// lateTimeout is how long the end of a claim is tried after its request ended.
-	lateTimeout = 30 * time.Second
-	// maxLate is the count of such ends tried at once.
-	maxLate = 1_024
+	// retryDelay is the mean delay between two calls.
+	retryDelay = 30 * time.Millisecond
+	// backgroundTimeout is how long the client tries in the background to complete a claim.
+	backgroundTimeout = 30 * time.Second
+	// maxBackground is the largest number of claims being completed in the background.
+	maxBackground = 1_024
 )
 
-// ErrUnclaimed means that this client holds no claim of the key.
-var ErrUnclaimed = errors.New("ledgerclient: no claim of this key is held")
+// ErrUnclaimed is returned by Complete, Abandon and Unknown if this client holds no claim on the key.
+var ErrUnclaimed = errors.New("ledgerclient: no claim held on this key")
 
-// errNotStored means that the ledger no longer takes the end of a claim.
-var errNotStored = errors.New("ledgerclient: the ledger did not store the end of the claim")
+// errNotStored means that the ledger no longer accepts the completion of a claim. Retrying doesn't help.
+var errNotStored = errors.New("ledgerclient: ledger did not store the completion of the claim")
 
-// Options are the parts that a Client stands on.
+// Options configure a Client. VM and Incarnation identify this entry VM as the holder of its claims.
 type Options struct {
 	VM          string
 	Incarnation string
-	// ControlAddrs are peer addresses of control VMs, IP:port.
+	// ControlAddrs are the peer addresses of the control VMs, as IP:port.
 	ControlAddrs []string
 	// HTTP makes the calls; nil means http.DefaultClient.
 	HTTP connect.HTTPClient
-	// Clock tells the time; nil means time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock func() time.Time
 	Logr  logr.Logger
 }
@@ -56,16 +56,17 @@
 	services []daisyhatchv1connect.EntryServiceClient
 
 	mu sync.Mutex
-	// at is the control VM that answered last.
-	at int
-	// held are the attempts that hold claims.
+	// current is the index in services of the control VM to call next. It changes when a call fails.
+	current int
+	// held maps the key of each held claim to the ID of the attempt that claimed it.
 	held map[dispatch.ClaimKey]string
-	late int
+	// background is the number of claims being completed in the background.
+	background int
 }
 
 var _ dispatch.Ledger = (*Client)(nil)
 
-// New returns a Client.
+// New returns a Client that starts with a random control VM.
 func New(o Options) *Client {
 	if o.HTTP == nil {
 		o.HTTP = http.DefaultClient
@@ -78,13 +79,14 @@
 		c.services = append(c.services, daisyhatchv1connect.NewEntryServiceClient(o.HTTP, "http://"+a))
 	}
 	if len(c.services) > 0 {
-		c.at = rand.IntN(len(c.services))
+		c.current = rand.IntN(len(c.services))
 	}
 	return c
 }
 
-// Claim implements dispatch.Ledger. It waits for the outcome while another holder runs the request. An error about the
-// ledger itself says that the request may have run, since an earlier send under the same key may have.
+// Claim implements dispatch.Ledger. While another holder runs the request, it waits for the outcome until deadline. The
+// error for an unreachable ledger says that the request may have run, since an earlier attempt with the same key may
+// have run.
 func (c *Client) Claim(ctx context.Context, k dispatch.ClaimKey, bodyHash uint64, deadline time.Time) (dispatch.Claim, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -102,16 +104,17 @@
 	for {
 		r, err := c.claim(ctx, cmd)
 		if err != nil {
-			c.giveUp(cmd)
+			c.withdraw(cmd)
 			return dispatch.Claim{}, claimError(err)
 		}
-		if r.GetState() != daisyhatchv1.ClaimState_CLAIM_STATE_PENDING || !pause(ctx) {
-			return c.answer(k, attempt, r)
+		if r.GetState() != daisyhatchv1.ClaimState_CLAIM_STATE_PENDING || !waitRetry(ctx) {
+			return c.handleResult(k, attempt, r)
 		}
 	}
 }
 
-func (c *Client) answer(k dispatch.ClaimKey, attempt string, r *daisyhatchv1.ClaimResult) (dispatch.Claim, error) {
+// handleResult converts the result of a claim and records the claim as held if it was granted.
+func (c *Client) handleResult(k dispatch.ClaimKey, attempt string, r *daisyhatchv1.ClaimResult) (dispatch.Claim, error) {
 	switch r.GetState() {
 	case daisyhatchv1.ClaimState_CLAIM_STATE_GRANTED:
 		c.mu.Lock()
@@ -119,13 +122,13 @@
 		c.held[k] = attempt
 		return dispatch.Claim{Granted: true}, nil
 	case daisyhatchv1.ClaimState_CLAIM_STATE_DONE:
-		return dispatch.Claim{Outcome: outcome(r.GetOutcome())}, nil
+		return dispatch.Claim{Outcome: outcomeFromProto(r.GetOutcome())}, nil
 	default:
 		return dispatch.Claim{}, stateError(r.GetState())
 	}
 }
 
-func outcome(o *daisyhatchv1.StoredOutcome) *dispatch.Outcome {
+func outcomeFromProto(o *daisyhatchv1.StoredOutcome) *dispatch.Outcome {
 	return &dispatch.Outcome{
 		Status:      int(o.GetStatus()),
 		ContentType: o.GetContentType(),
@@ -136,7 +139,7 @@
 
 func (c *Client) claim(ctx context.Context, cmd *daisyhatchv1.ClaimCommand) (*daisyhatchv1.ClaimResult, error) {
 	var out *daisyhatchv1.ClaimResult
-	err := c.try(ctx, func(ctx context.Context, s daisyhatchv1connect.EntryServiceClient) error {
+	err := c.callWithRetry(ctx, func(ctx context.Context, s daisyhatchv1connect.EntryServiceClient) error {
 		r, err := s.Claim(ctx, connect.NewRequest(&daisyhatchv1.ClaimRequest{Claim: cmd}))
 		if err == nil {
 			out = r.Msg.GetResult()
@@ -146,9 +149,10 @@
 	return out, err
 }
 
-// giveUp removes a claim that was perhaps recorded, without its answer coming back: nothing was dispatched under it.
-func (c *Client) giveUp(cmd *daisyhatchv1.ClaimCommand) {
-	c.finishLate(&daisyhatchv1.CompleteCommand{
+// withdraw removes a claim that the ledger may have recorded although the call failed. Nothing was dispatched under it,
+// so it is completed as not run.
+func (c *Client) withdraw(cmd *daisyhatchv1.ClaimCommand) {
+	c.completeInBackground(&daisyhatchv1.CompleteCommand{
 		Organisation: cmd.GetOrganisation(),
 		Key:          cmd.GetKey(),
 		Holder:       cmd.GetHolder(),
@@ -158,9 +162,9 @@
 	})
 }
 
-// Complete implements dispatch.Ledger.
+// Complete implements dispatch.Ledger. It returns ErrUnclaimed if this client holds no claim on k.
 func (c *Client) Complete(ctx context.Context, k dispatch.ClaimKey, o dispatch.Outcome) error {
-	return c.end(ctx, k, &daisyhatchv1.CompleteCommand{Outcome: &daisyhatchv1.StoredOutcome{
+	return c.completeHeld(ctx, k, &daisyhatchv1.CompleteCommand{Outcome: &daisyhatchv1.StoredOutcome{
 		Status:      int32(o.Status),
 		ContentType: o.ContentType,
 		Body:        o.Body,
@@ -168,18 +172,19 @@
 	}})
 }
 
-// Abandon implements dispatch.Ledger.
+// Abandon implements dispatch.Ledger. It returns ErrUnclaimed if this client holds no claim on k.
 func (c *Client) Abandon(ctx context.Context, k dispatch.ClaimKey) error {
-	return c.end(ctx, k, &daisyhatchv1.CompleteCommand{NotRun: true})
+	return c.completeHeld(ctx, k, &daisyhatchv1.CompleteCommand{NotRun: true})
 }
 
-// Unknown implements dispatch.Ledger.
+// Unknown implements dispatch.Ledger. It returns ErrUnclaimed if this client holds no claim on k.
 func (c *Client) Unknown(ctx context.Context, k dispatch.ClaimKey) error {
-	return c.end(ctx, k, &daisyhatchv1.CompleteCommand{Unknown: true})
+	return c.completeHeld(ctx, k, &daisyhatchv1.CompleteCommand{Unknown: true})
 }
 
-// end sends the end of a claim. When ctx ends first it is tried further in the background.
-func (c *Client) end(ctx context.Context, k dispatch.ClaimKey, cmd *daisyhatchv1.CompleteCommand) error {
+// completeHeld sends cmd as the completion of the claim on k. If ctx ends before the ledger has confirmed it, the client
+// keeps trying in the background.
+func (c *Client) completeHeld(ctx context.Context, k dispatch.ClaimKey, cmd *daisyhatchv1.CompleteCommand) error {
 	c.mu.Lock()
 	attempt, ok := c.held[k]
 	delete(c.held, k)
@@ -194,14 +199,14 @@
 	cmd.Attempt = attempt
 	err := c.complete(ctx, cmd)
 	if err != nil && !errors.Is(err, errNotStored) {
-		c.finishLate(cmd)
+		c.completeInBackground(cmd)
 	}
 	return err
 }
 
 func (c *Client) complete(ctx context.Context, cmd *daisyhatchv1.CompleteCommand) error {
 	stored := false
-	err := c.try(ctx, func(ctx context.Context, s daisyhatchv1connect.EntryServiceClient) error {
+	err := c.callWithRetry(ctx, func(ctx context.Context, s daisyhatchv1connect.EntryServiceClient) error {
 		r, err := s.Complete(ctx, connect.NewRequest(&daisyhatchv1.CompleteRequest{Complete: cmd}))
 		stored = err == nil && r.Msg.GetResult().GetStored()
 		return err
@@ -212,22 +217,23 @@
 	return err
 }
 
-// finishLate tries to end a claim in the background. When it fails, the claim counts as unknown after its deadline.
-func (c *Client) finishLate(cmd *daisyhatchv1.CompleteCommand) {
+// completeInBackground completes a claim in the background, unless maxBackground claims are being completed already. If it
+// fails, the outcome of the claim counts as unknown after its deadline.
+func (c *Client) completeInBackground(cmd *daisyhatchv1.CompleteCommand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.late >= maxLate {
+	if c.background >= maxBackground {
 		return
 	}
-	c.late++
+	c.background++
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), lateTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), backgroundTimeout)
 		defer cancel()
 		if err := c.complete(ctx, cmd); err != nil {
-			c.o.Logr.V(1).Info("claim not ended", "key", cmd.GetKey(), "reason", err.Error())
+			c.o.Logr.V(1).Info("claim not completed", "key", cmd.GetKey(), "reason", err.Error())
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.late--
+		c.background--
 	}()
 }
