--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -11,31 +11,36 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// fleet is entry VMs that share one organisation's limits over a faulty network, on a clock of its own.
-type fleet struct {
+// cluster simulates entry VMs that share one organisation's limits over a lossy network, on a simulated clock.
+type cluster struct {
 	*testing.T
-	now      time.Time
-	rng      *rand.Rand
-	keep     Keeping
-	allotter *Allotter
-	entries  []*Controller
-	waiting  []int
+	now       time.Time
+	rng       *rand.Rand
+	authority Keeping
+	allotter  *Allotter
+	entries   []*Controller
+	// waiting counts the waiting requests by entry VM.
+	waiting []int
+	// ends lists the requests in flight.
 	ends     []end
 	inFlight int
-	most     int
-	admitted int
-	refused  int
-	lost     float64
+	// maxInFlight is the most requests that were in flight at once.
+	maxInFlight int
+	admitted    int
+	refused     int
+	// lossRate is the probability that a draw request, or its response, is lost.
+	lossRate float64
 }
 
+// end is when a request on an entry VM will end.
 type end struct {
 	at    time.Time
 	entry int
 }
 
-func newFleet(t *testing.T, n int, l Limits) *fleet {
-	f := &fleet{
-		T: t, now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2)), keep: Keeping{Limits: l, Fence: 1}, allotter: NewAllotter(),
+func newCluster(t *testing.T, n int, l Limits) *cluster {
+	f := &cluster{
+		T: t, now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2)), authority: Keeping{Limits: l, Fence: 1}, allotter: NewAllotter(),
 	}
 	for i := range n {
 		f.entries = append(f.entries, NewController(fmt.Sprint("e", i), "1"))
@@ -44,28 +49,28 @@
 	return f
 }
 
-const fleetTick = 10 * time.Millisecond
+const clusterTick = 10 * time.Millisecond
 
-// run offers rate requests a second, to entries chosen by pick, each running for length.
-func (f *fleet) run(d time.Duration, rate float64, length time.Duration, pick func() int) {
+// run simulates d, in which rate requests per second arrive at the entry VMs chosen by pick, and each runs for length.
+func (f *cluster) run(d time.Duration, rate float64, length time.Duration, pick func() int) {
 	due := 0.0
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(fleetTick) {
-		for due += rate * fleetTick.Seconds(); due >= 1; due-- {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(clusterTick) {
+		for due += rate * clusterTick.Seconds(); due >= 1; due-- {
 			f.arrive(pick(), length)
 		}
 		f.leave(length)
-		regular := f.now.UnixMilli()%drawEvery.Milliseconds() == 0
+		regular := f.now.UnixMilli()%drawInterval.Milliseconds() == 0
 		for i, c := range f.entries {
 			if regular || f.waiting[i] > 0 {
 				f.draw(i, c, regular, length)
 			}
 		}
-		f.most = max(f.most, f.inFlight)
+		f.maxInFlight = max(f.maxInFlight, f.inFlight)
 	}
 }
 
-func (f *fleet) arrive(i int, length time.Duration) {
-	switch v, _ := f.entries[i].Arrive("o", f.keep.Limits, f.now); v {
+func (f *cluster) arrive(i int, length time.Duration) {
+	switch v, _ := f.entries[i].Arrive("o", f.authority.Limits, f.now); v {
 	case Admit:
 		f.start(i, length)
 	case Wait:
@@ -76,13 +81,13 @@
 	f.entries[i].Waiting("o", f.waiting[i])
 }
 
-func (f *fleet) start(i int, length time.Duration) {
+func (f *cluster) start(i int, length time.Duration) {
 	f.admitted++
 	f.inFlight++
 	f.ends = append(f.ends, end{f.now.Add(length), i})
 }
 
-func (f *fleet) leave(length time.Duration) {
+func (f *cluster) leave(length time.Duration) {
 	kept := f.ends[:0]
 	for _, e := range f.ends {
 		if e.at.After(f.now) {
@@ -98,7 +103,7 @@
 	}
 }
 
-func (f *fleet) serve(i int, length time.Duration) {
+func (f *cluster) serve(i int, length time.Duration) {
 	for f.waiting[i] > 0 {
 		v, _ := f.entries[i].Again("o", f.now)
 		if v == Wait {
@@ -114,31 +119,32 @@
 	f.entries[i].Waiting("o", f.waiting[i])
 }
 
-func (f *fleet) draw(i int, c *Controller, regular bool, length time.Duration) {
-	r := c.Draw("keeper", func(string) bool { return true }, regular, f.now)
-	if r == nil || f.rng.Float64() < f.lost {
+func (f *cluster) draw(i int, c *Controller, regular bool, length time.Duration) {
+	r := c.Draw("grantor", func(string) bool { return true }, regular, f.now)
+	if r == nil || f.rng.Float64() < f.lossRate {
 		return
 	}
-	out := f.allotter.Draw(r, func(string) Keeping { return f.keep }, f.now)
-	if f.rng.Float64() >= f.lost {
-		c.Apply("keeper", out, f.now)
+	out := f.allotter.Draw(r, func(string) Keeping { return f.authority }, f.now)
+	if f.rng.Float64() >= f.lossRate {
+		c.Apply("grantor", out, f.now)
 	}
 	f.serve(i, length)
 }
 
-func (f *fleet) anywhere() int { return f.rng.IntN(len(f.entries)) }
+func (f *cluster) randomEntry() int { return f.rng.IntN(len(f.entries)) }
 
-// TestRateHoldsAcrossEntryVMs offers three times the rate; the error must stay under 10 % of the limit.
+// TestRateHoldsAcrossEntryVMs sends three times the allowed rate. The admitted requests must come within 10 % of the limit
+// and not exceed it.
 func TestRateHoldsAcrossEntryVMs(t *testing.T) {
 	for _, n := range []int{1, 8, 40} {
-		for name, pick := range map[string]func(f *fleet) func() int{
-			"even":   func(f *fleet) func() int { return f.anywhere },
-			"uneven": func(f *fleet) func() int { return func() int { return f.rng.IntN(1 + f.rng.IntN(len(f.entries))) } },
-			"moving": func(f *fleet) func() int {
+		for name, pick := range map[string]func(f *cluster) func() int{
+			"even":   func(f *cluster) func() int { return f.randomEntry },
+			"uneven": func(f *cluster) func() int { return func() int { return f.rng.IntN(1 + f.rng.IntN(len(f.entries))) } },
+			"moving": func(f *cluster) func() int {
 				return func() int { return (int(f.now.Unix()/3) + f.rng.IntN(2)) % len(f.entries) }
 			},
 		} {
-			f := newFleet(t, n, Limits{Rate: 100, Burst: 20})
+			f := newCluster(t, n, Limits{Rate: 100, Burst: 20})
 			f.run(30*time.Second, 300, 20*time.Millisecond, pick(f))
 			require.InDelta(t, 30*100+20, f.admitted, 0.1*30*100, "%d VMs, %s", n, name)
 			require.LessOrEqual(t, f.admitted, 30*100+20)
@@ -148,55 +154,55 @@
 }
 
 func TestRateBelowTheLimitIsNotRefused(t *testing.T) {
-	f := newFleet(t, 8, Limits{Rate: 100, Burst: 50})
-	f.run(30*time.Second, 80, 20*time.Millisecond, f.anywhere)
-	require.LessOrEqual(t, f.refused, 24, "one in a hundred")
+	f := newCluster(t, 8, Limits{Rate: 100, Burst: 50})
+	f.run(30*time.Second, 80, 20*time.Millisecond, f.randomEntry)
+	require.LessOrEqual(t, f.refused, 24, "at most one request in a hundred is refused")
 }
 
 func TestConcurrencyHoldsAcrossEntryVMs(t *testing.T) {
 	for _, n := range []int{1, 8, 40} {
-		f := newFleet(t, n, Limits{Concurrency: 50})
-		f.run(20*time.Second, 200, 500*time.Millisecond, f.anywhere)
-		require.LessOrEqual(t, f.most, 50, "%d VMs", n)
+		f := newCluster(t, n, Limits{Concurrency: 50})
+		f.run(20*time.Second, 200, 500*time.Millisecond, f.randomEntry)
+		require.LessOrEqual(t, f.maxInFlight, 50, "%d VMs", n)
 		before := f.admitted
-		f.run(10*time.Second, 200, 500*time.Millisecond, f.anywhere)
+		f.run(10*time.Second, 200, 500*time.Millisecond, f.randomEntry)
 		require.InDelta(t, 50*2*10, f.admitted-before, 0.1*50*2*10, "%d VMs", n)
 		t.Logf("%d VMs: %.1f %% of the limit", n, float64(f.admitted-before)/10)
 	}
 }
 
 func TestLimitsHoldWithLostMessages(t *testing.T) {
-	f := newFleet(t, 8, Limits{Rate: 100, Burst: 20, Concurrency: 50})
-	f.lost = 0.05
-	f.run(30*time.Second, 300, 200*time.Millisecond, f.anywhere)
-	require.LessOrEqual(t, f.most, 50)
+	f := newCluster(t, 8, Limits{Rate: 100, Burst: 20, Concurrency: 50})
+	f.lossRate = 0.05
+	f.run(30*time.Second, 300, 200*time.Millisecond, f.randomEntry)
+	require.LessOrEqual(t, f.maxInFlight, 50)
 	require.InDelta(t, 30*100+20, f.admitted, 0.1*30*100)
 	t.Logf("%.1f %% of the limit", float64(f.admitted)/30.2)
 }
 
-// TestLimitsHoldWhenAnotherVMKeepsThem changes the keeper under load.
-func TestLimitsHoldWhenAnotherVMKeepsThem(t *testing.T) {
-	f := newFleet(t, 8, Limits{Rate: 100, Burst: 20, Concurrency: 50})
-	f.run(10*time.Second, 300, 400*time.Millisecond, f.anywhere)
-	f.keep.Fence, f.keep.Learning = 2, true
+// TestLimitsHoldWhenTheGrantorChanges replaces the grantor under load by one without state.
+func TestLimitsHoldWhenTheGrantorChanges(t *testing.T) {
+	f := newCluster(t, 8, Limits{Rate: 100, Burst: 20, Concurrency: 50})
+	f.run(10*time.Second, 300, 400*time.Millisecond, f.randomEntry)
+	f.authority.Fence, f.authority.Learning = 2, true
 	f.allotter = NewAllotter()
-	f.run(unitsTTL, 300, 400*time.Millisecond, f.anywhere)
-	f.keep.Learning = false
-	f.run(10*time.Second, 300, 400*time.Millisecond, f.anywhere)
-	require.LessOrEqual(t, f.most, 50)
+	f.run(unitsTTL, 300, 400*time.Millisecond, f.randomEntry)
+	f.authority.Learning = false
+	f.run(10*time.Second, 300, 400*time.Millisecond, f.randomEntry)
+	require.LessOrEqual(t, f.maxInFlight, 50)
 	require.LessOrEqual(t, f.admitted, 2150+20)
 }
 
-func TestOutageFallsBackToAPart(t *testing.T) {
-	f := newFleet(t, 8, Limits{Rate: 80, Burst: 8, Concurrency: 80})
-	f.run(5*time.Second, 40, 20*time.Millisecond, f.anywhere)
-	f.lost = 1
-	f.run(outage, 40, 20*time.Millisecond, f.anywhere)
+func TestOutageFallsBackToAShareOfTheLimits(t *testing.T) {
+	f := newCluster(t, 8, Limits{Rate: 80, Burst: 8, Concurrency: 80})
+	f.run(5*time.Second, 40, 20*time.Millisecond, f.randomEntry)
+	f.lossRate = 1
+	f.run(outageThreshold, 40, 20*time.Millisecond, f.randomEntry)
 	before := f.admitted
-	f.run(10*time.Second, 40, 20*time.Millisecond, f.anywhere)
-	require.Greater(t, f.admitted-before, 300, "service goes on")
+	f.run(10*time.Second, 40, 20*time.Millisecond, f.randomEntry)
+	require.Greater(t, f.admitted-before, 300, "requests are still admitted")
 	before = f.admitted
-	f.run(10*time.Second, 400, 20*time.Millisecond, f.anywhere)
+	f.run(10*time.Second, 400, 20*time.Millisecond, f.randomEntry)
 	require.InDelta(t, 800, f.admitted-before, 160)
 }
 
@@ -217,7 +223,7 @@
 		c.Waiting(fmt.Sprint(i), 0)
 		c.Leave(fmt.Sprint(i), now)
 	}
-	now = now.Add(2 * keepSilent)
+	now = now.Add(2 * silentHolderTTL)
 	c.Tick(now)
 	a.Tick(now)
 	require.Zero(t, c.Len())
@@ -257,7 +263,7 @@
 	}
 	require.InDelta(t, 50, served["a"], 2)
 	require.InDelta(t, 100, served["b"], 2)
-	require.Less(t, first, 4, "one that comes late does not wait behind the queues of others")
+	require.Less(t, first, 4, "a late item doesn't wait behind the backlog of other organisations")
 }
 
 func TestQueueGivesANewcomerNoMoreThanItsShare(t *testing.T) {
@@ -295,8 +301,8 @@
 	require.Equal(t, []int{1, 3, 2, 0}, order)
 }
 
-// drawn answers one demand of a fresh holder.
-func drawn(a *Allotter, vm string, k Keeping, d *daisyhatchv1.QuotaDemand, now time.Time) *daisyhatchv1.Quota {
+// drawOne draws for the organisation "o" and returns the quota.
+func drawOne(a *Allotter, vm string, k Keeping, d *daisyhatchv1.QuotaDemand, now time.Time) *daisyhatchv1.Quota {
 	d.Organisation = "o"
 	r := &daisyhatchv1.DrawRequest{Vm: vm, Sequence: uint64(now.UnixNano()), Demands: []*daisyhatchv1.QuotaDemand{d}}
 	return a.Draw(r, func(string) Keeping { return k }, now).Quotas[0]
@@ -305,28 +311,28 @@
 func TestUnitsHeldAreChargedUntilGivenBack(t *testing.T) {
 	a, now := NewAllotter(), time.Unix(1000, 0)
 	k := Keeping{Limits: Limits{Concurrency: 5}, Fence: 1}
-	require.EqualValues(t, 5, drawn(a, "x", k, &daisyhatchv1.QuotaDemand{Want: 5}, now).Units)
+	require.EqualValues(t, 5, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Want: 5}, now).Units)
 	now = now.Add(time.Second)
-	require.Zero(t, drawn(a, "x", k, &daisyhatchv1.QuotaDemand{Units: 5}, now).Units)
-	require.Zero(t, drawn(a, "y", k, &daisyhatchv1.QuotaDemand{Want: 5}, now).Units, "x may use them until it has the answer")
+	require.Zero(t, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Units: 5}, now).Units)
+	require.Zero(t, drawOne(a, "y", k, &daisyhatchv1.QuotaDemand{Want: 5}, now).Units, "x may use its units until it has the response")
 	now = now.Add(time.Second)
-	drawn(a, "x", k, &daisyhatchv1.QuotaDemand{}, now)
-	require.EqualValues(t, 5, drawn(a, "y", k, &daisyhatchv1.QuotaDemand{Want: 5}, now).Units)
+	drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{}, now)
+	require.EqualValues(t, 5, drawOne(a, "y", k, &daisyhatchv1.QuotaDemand{Want: 5}, now).Units)
 }
 
-func TestBucketHoldsTheBurstAndStartsEmptyAtANewKeeper(t *testing.T) {
+func TestBucketIsCappedAtBurstAndStartsEmptyAtANewGrantor(t *testing.T) {
 	a, now := NewAllotter(), time.Unix(1000, 0)
 	k := Keeping{Limits: Limits{Rate: 10, Burst: 20}, Fence: 1}
-	drawn(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now)
+	drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now)
 	now = now.Add(time.Minute)
-	require.EqualValues(t, 20, drawn(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 100}, now).Tokens)
+	require.EqualValues(t, 20, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 100}, now).Tokens)
 	k.Fence, k.Learning = 2, true
-	q := drawn(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 100}, now.Add(time.Millisecond))
+	q := drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 100}, now.Add(time.Millisecond))
 	require.Zero(t, q.Tokens)
 	require.InDelta(t, 100, q.RetryMs, 1)
 }
 
-func TestUnitsEndAndLateAnswersAreDropped(t *testing.T) {
+func TestUnitsExpireAndStaleResponsesAreDropped(t *testing.T) {
 	c, now := NewController("e", "1"), time.Unix(1000, 0)
 	l := Limits{Concurrency: 5}
 	owns := func(string) bool { return true }
@@ -339,12 +345,12 @@
 	second := c.Draw("k", owns, true, now)
 	c.Apply("k", answer(first), now)
 	v, _ := c.Again("o", now)
-	require.Equal(t, Wait, v, "an answer to an earlier request")
+	require.Equal(t, Wait, v, "a response to an earlier request is ignored")
 	c.Apply("k", answer(second), now.Add(unitsTTL-time.Millisecond))
 	v, _ = c.Again("o", now.Add(unitsTTL-time.Millisecond))
 	require.Equal(t, Admit, v)
 	v, _ = c.Again("o", now.Add(unitsTTL))
-	require.Equal(t, Wait, v, "units last from the ask")
+	require.Equal(t, Wait, v, "the lifetime of units starts with the request")
 }
 
 func TestOrganisationsDrawOnlyWhenTheyNeedSomething(t *testing.T) {
@@ -358,44 +364,45 @@
 	}
 	c.Waiting("x", 1)
 	r := c.Draw("k", owns, false, now)
-	require.Len(t, r.Demands, 1, "only x waits")
+	require.Len(t, r.Demands, 1, "only x has a waiting request")
 	c.Apply("k", a.Draw(r, keep, now), now)
 	v, _ := c.Again("x", now)
 	require.Equal(t, Admit, v)
 	c.Waiting("x", 0)
 	for range 8 {
-		now = now.Add(drawEvery)
-		require.Nil(t, c.Draw("k", owns, true, now), "x has what it needs")
+		now = now.Add(drawInterval)
+		require.Nil(t, c.Draw("k", owns, true, now), "x has enough tokens")
 	}
 	v, _ = c.Arrive("x", l, now)
-	require.Equal(t, Wait, v, "silence without a question is no outage")
+	require.Equal(t, Wait, v, "the time without a draw doesn't count as an outage")
 }
 
-// A keeper that does not answer is asked until it does; meanwhile a fixed part of the limits holds.
-func TestOrganisationAsksASilentKeeperOn(t *testing.T) {
+// TestDrawIsRepeatedWhileTheGrantorIsSilent checks that draws go on while the grantor doesn't respond, and that the
+// fallback share of the limits applies meanwhile.
+func TestDrawIsRepeatedWhileTheGrantorIsSilent(t *testing.T) {
 	c, now := NewController("e", "1"), time.Unix(1000, 0)
 	l := Limits{Rate: 10, Burst: 20}
 	c.Arrive("x", l, now)
 	c.Waiting("x", 1)
 	for range 6 {
-		now = now.Add(drawEvery)
+		now = now.Add(drawInterval)
 		require.NotNil(t, c.Draw("k", func(string) bool { return true }, true, now))
 	}
 	v, _ := c.Again("x", now)
 	require.Equal(t, Admit, v)
 	c.Waiting("x", 0)
-	require.NotNil(t, c.Draw("k", func(string) bool { return true }, true, now.Add(drawEvery)))
+	require.NotNil(t, c.Draw("k", func(string) bool { return true }, true, now.Add(drawInterval)))
 }
 
-func TestForgottenBucketIsNotFilledEarly(t *testing.T) {
+func TestBucketIsKeptUntilFull(t *testing.T) {
 	a, now := NewAllotter(), time.Unix(1000, 0)
 	k := Keeping{Limits: Limits{Rate: 0.02, Burst: 1}, Fence: 1}
-	require.EqualValues(t, 1, drawn(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now).Tokens)
+	require.EqualValues(t, 1, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now).Tokens)
 	for range 49 {
 		now = now.Add(time.Second)
 		a.Tick(now)
 	}
-	require.Zero(t, drawn(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now).Tokens)
+	require.Zero(t, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now).Tokens)
 	now = now.Add(time.Second)
-	require.EqualValues(t, 1, drawn(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now).Tokens)
+	require.EqualValues(t, 1, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now).Tokens)
 }
--- a/pkg/admission/allotter.go
+++ b/pkg/admission/allotter.go
@@ -8,86 +8,94 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// Allotter lends the limits of organisations to entry VMs. The tokens of an organisation's rate come out of one bucket,
-// so that all entry VMs together never admit more; units of its concurrency are lent for a short time. Only
-// organisations with recent requests take memory. It is pure and not safe for concurrent use.
+// Allotter distributes organisations' limits among the entry VMs. It runs on the grantor: the control VM that holds the
+// organisation's shard. Rate tokens come from a single token bucket per organisation, so that all entry VMs together
+// never exceed the rate; concurrency units are lent for unitsTTL. Only organisations with recent requests take memory.
+// It does no I/O, takes the time as an argument, and is not safe for concurrent use.
 type Allotter struct {
 	organisations map[string]*account
-	sequences     map[holderKey]seen
+	lastDraws     map[holderKey]lastDraw
 }
 
+// holderKey identifies one process of an entry VM.
 type holderKey struct {
 	vm          string
 	incarnation string
 }
 
-// seen is a holder's last request.
-type seen struct {
+// lastDraw is the sequence number and time of a holder's last draw request.
+type lastDraw struct {
 	sequence uint64
 	at       time.Time
 }
 
-// account is one organisation's limits as far as they are lent.
+// account is the token bucket and the lent units of one organisation.
 type account struct {
-	fence    uint64
-	tokens   float64
-	filledAt time.Time
-	// fullAt is when the bucket is full unless tokens are drawn.
+	fence      uint64
+	tokens     float64
+	refilledAt time.Time
+	// fullAt is when the bucket will be full if no more tokens are drawn.
 	fullAt  time.Time
 	holders []loan
-	// unserved is the least time without an answer that a holder told while the keeper was new; back is how many tokens
-	// were given for it.
-	unserved time.Duration
-	back     float64
+	// unserved is the shortest time without a grantor that a holder reported while this one was learning; compensated is
+	// the number of tokens added for it.
+	unserved    time.Duration
+	compensated float64
 }
 
-// loan is what one holder has or may have in flight.
+// loan is the concurrency units lent to one holder.
 type loan struct {
 	holder holderKey
-	units  int
-	want   int
-	at     time.Time
+	// units is the number of requests that the holder may have in flight.
+	units int
+	// want is the number of units that the holder last asked for.
+	want int
+	// at is when the holder's last draw arrived.
+	at time.Time
 }
 
-// NewAllotter returns an Allotter that has lent nothing.
+// NewAllotter returns an Allotter without any organisations.
 func NewAllotter() *Allotter {
-	return &Allotter{organisations: make(map[string]*account), sequences: make(map[holderKey]seen)}
+	return &Allotter{organisations: make(map[string]*account), lastDraws: make(map[holderKey]lastDraw)}
 }
 
-// Len returns the count of organisations remembered.
+// Len returns the number of organisations that take memory.
 func (a *Allotter) Len() int { return len(a.organisations) }
 
-// Keeping tells how an organisation's limits are kept here.
+// Keeping is the grantor's authority over the limits of one organisation.
 type Keeping struct {
 	Limits Limits
-	// Fence is the fence of the organisation's shard; 0 when another VM keeps the limits. What was lent under another
-	// fence is forgotten.
+	// Fence is the fencing number of the organisation's shard; 0 when another VM is its grantor. State from a different
+	// fencing number is discarded.
 	Fence uint64
-	// Learning is true shortly after the shard changed hands: nothing is lent while holders tell what they have.
+	// Learning is true for a short time after the shard moved to this VM: no new units are lent until the holders have
+	// reported the units that they have.
 	Learning bool
 }
 
-// Draw answers one entry VM. An older request than the last one gets no answer: nil.
-func (a *Allotter) Draw(r *daisyhatchv1.DrawRequest, keeping func(organisation string) Keeping, now time.Time) *daisyhatchv1.DrawResponse {
+// Draw answers a draw request of an entry VM. keeping returns the authority over an organisation; those without a fence
+// are left out of the response. It returns nil for a request that is not newer than the holder's last one.
+func (a *Allotter) Draw(r *daisyhatchv1.DrawRequest, authorityOf func(organisation string) Keeping, now time.Time) *daisyhatchv1.DrawResponse {
 	key := holderKey{r.Vm, r.Incarnation}
-	if r.Sequence <= a.sequences[key].sequence {
+	if r.Sequence <= a.lastDraws[key].sequence {
 		return nil
 	}
-	a.sequences[key] = seen{r.Sequence, now}
+	a.lastDraws[key] = lastDraw{r.Sequence, now}
 	out := &daisyhatchv1.DrawResponse{Sequence: r.Sequence}
 	for _, d := range r.Demands {
-		if k := keeping(d.Organisation); k.Fence != 0 {
+		if k := authorityOf(d.Organisation); k.Fence != 0 {
 			out.Quotas = append(out.Quotas, a.draw(key, d, k, now))
 		}
 	}
 	return out
 }
 
+// draw answers the demand for one organisation.
 func (a *Allotter) draw(key holderKey, d *daisyhatchv1.QuotaDemand, k Keeping, now time.Time) *daisyhatchv1.Quota {
 	l := k.Limits
 	o := a.organisations[d.Organisation]
 	if o == nil || o.fence != k.Fence {
-		o = &account{fence: k.Fence, filledAt: now}
+		o = &account{fence: k.Fence, refilledAt: now}
 		if !k.Learning {
 			o.tokens = l.burst()
 		}
@@ -95,10 +103,10 @@
 	}
 	q := &daisyhatchv1.Quota{Organisation: d.Organisation}
 	if l.Rate > 0 {
-		o.fill(l, now)
+		o.refill(l, now)
 		o.tokens = min(l.burst(), o.tokens+float64(d.Returned))
 		if k.Learning {
-			o.makeUp(l, d)
+			o.compensate(l, d)
 		}
 		q.Tokens = uint32(min(float64(d.Tokens), math.Floor(max(o.tokens, 0))))
 		o.tokens -= float64(q.Tokens)
@@ -115,25 +123,26 @@
 	return q
 }
 
-// makeUp adds tokens for the time in which nobody kept the limits, as far as the demand needs them: the rate of the
-// least time without an answer that a holder tells, unservedMost at most.
-func (o *account) makeUp(l Limits, d *daisyhatchv1.QuotaDemand) {
-	if told := time.Duration(d.UnservedMs) * time.Millisecond; told > 0 && (o.unserved == 0 || told < o.unserved) {
-		o.unserved = told
+// compensate adds the tokens that accrued while the organisation had no grantor, as far as the demand needs them. The
+// time is the shortest one that a holder reported, and maxUnserved at most.
+func (o *account) compensate(l Limits, d *daisyhatchv1.QuotaDemand) {
+	if reported := time.Duration(d.UnservedMs) * time.Millisecond; reported > 0 && (o.unserved == 0 || reported < o.unserved) {
+		o.unserved = reported
 	}
-	most := l.Rate * min(o.unserved, unservedMost).Seconds()
-	n := max(0, min(float64(d.Tokens)-o.tokens, most-o.back))
-	o.back += n
+	most := l.Rate * min(o.unserved, maxUnserved).Seconds()
+	n := max(0, min(float64(d.Tokens)-o.tokens, most-o.compensated))
+	o.compensated += n
 	o.tokens += n
 }
 
-func (o *account) fill(l Limits, now time.Time) {
-	o.tokens = min(l.burst(), o.tokens+l.Rate*now.Sub(o.filledAt).Seconds())
-	o.filledAt = now
+// refill adds the tokens accrued since the last refill, up to the burst.
+func (o *account) refill(l Limits, now time.Time) {
+	o.tokens = min(l.burst(), o.tokens+l.Rate*now.Sub(o.refilledAt).Seconds())
+	o.refilledAt = now
 }
 
-// lend returns how many requests the holder may have in flight: its max-min fair share, as far as others don't have
-// or may not have the units still.
+// lend returns how many requests the holder may have in flight: its max-min fair share, less what other holders still
+// have or could have.
 func (o *account) lend(key holderKey, d *daisyhatchv1.QuotaDemand, k Keeping, now time.Time) int {
 	limit := k.Limits.Concurrency
 	i := slices.IndexFunc(o.holders, func(h loan) bool { return h.holder == key })
@@ -159,8 +168,8 @@
 	return n
 }
 
-// fairShare returns the max-min fair share of one that wants want among wants. Shares are rounded up: who asks first
-// gets the rest.
+// fairShare returns the max-min fair share of a holder that wants want units, where wants lists the demands of all
+// holders, its own included. Shares are rounded up, so the remainder goes to the holders that ask first. It sorts wants.
 func fairShare(wants []int, want, limit int) int {
 	slices.Sort(wants)
 	left := limit
@@ -175,19 +184,19 @@
 	return want
 }
 
-// Tick forgets what holders had that have been silent for long, and organisations without any whose buckets are full
-// again.
+// Tick removes the loans of holders that have been silent for silentHolderTTL, and the organisations that have neither
+// loans nor recent draws and whose buckets are full again.
 func (a *Allotter) Tick(now time.Time) {
-	for key, s := range a.sequences {
-		if now.Sub(s.at) > keepSilent {
-			delete(a.sequences, key)
+	for key, s := range a.lastDraws {
+		if now.Sub(s.at) > silentHolderTTL {
+			delete(a.lastDraws, key)
 		}
 	}
 	for name, o := range a.organisations {
 		o.holders = slices.DeleteFunc(o.holders, func(h loan) bool {
-			return h.units == 0 && now.Sub(h.at) > keepIdle || now.Sub(h.at) > keepSilent
+			return h.units == 0 && now.Sub(h.at) > idleTTL || now.Sub(h.at) > silentHolderTTL
 		})
-		if len(o.holders) == 0 && now.Sub(o.filledAt) > keepSilent && !now.Before(o.fullAt) {
+		if len(o.holders) == 0 && now.Sub(o.refilledAt) > silentHolderTTL && !now.Before(o.fullAt) {
 			delete(a.organisations, name)
 		}
 	}
--- a/pkg/admission/controller.go
+++ b/pkg/admission/controller.go
@@ -9,111 +9,113 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// Timing of the controller.
+// Parameters of the controller.
 const (
-	// outage is the time without an answer after which a VM admits by fallbackShare.
-	outage = 2 * time.Second
-	// fallbackShare is the part of a limit that a VM uses while nobody keeps the organisation's limits.
+	// outageThreshold is the time without a response from the grantor after which a VM admits by fallbackShare.
+	outageThreshold = 2 * time.Second
+	// fallbackShare is the fraction of a limit that each VM applies on its own while the organisation has no grantor.
 	fallbackShare = 0.125
-	// arrivalSmoothing is the weight of one interval's arrivals in the expected count.
+	// arrivalSmoothing is the weight of the last interval in the moving average of arrivals.
 	arrivalSmoothing = 0.5
-	// surplus is the share of the expected arrivals that is drawn on top.
-	surplus = 0.25
+	// prefetchShare is the fraction of the expected arrivals by which a draw exceeds them.
+	prefetchShare = 0.25
 )
 
-// Verdict is the answer to a request at the door.
+// Verdict is the admission decision on a request.
 type Verdict int
 
-// Verdicts.
 const (
-	// Admit lets the request in; Leave is to be called for it.
+	// Admit means that the request may start; Leave must be called when it ends.
 	Admit Verdict = iota
-	// Wait means that a token or unit may come with the next draw or the next Leave.
+	// Wait means that the request has to wait: a token or unit may become available with the next draw or Leave.
 	Wait
-	// Refuse means that the rate is used up.
+	// Refuse means that the organisation's rate is exhausted.
 	Refuse
 )
 
-// Controller keeps one entry VM's part of the limits of organisations. Organisations without limits or without recent
-// requests take no memory. It is pure and not safe for concurrent use.
+// Controller applies one entry VM's part of the organisations' limits. It draws rate tokens and concurrency units from
+// the grantor, the control VM that runs the Allotter for the organisation. Organisations without limits or without
+// recent requests take no memory. It does no I/O, takes the time as an argument, and is not safe for concurrent use.
 type Controller struct {
 	vm            string
 	incarnation   string
 	sequence      uint64
 	organisations map[string]*quota
-	// asked is the last draw from each VM that keeps limits.
-	asked map[string]draw
+	// pending is the last unanswered draw by grantor address.
+	pending map[string]pendingDraw
 }
 
-// draw is an unanswered request.
-type draw struct {
+// pendingDraw is a draw request without a response yet.
+type pendingDraw struct {
 	sequence uint64
 	at       time.Time
 }
 
-// quota is this VM's part of one organisation's limits.
+// quota is this VM's part of one organisation's limits, and its recent demand.
 type quota struct {
-	limits  Limits
-	tokens  float64
-	units   int
-	until   time.Time
-	active  time.Time
-	waiting int
-	// inFlight counts admitted requests.
+	limits        Limits
+	tokens        float64
+	units         int
+	unitsExpireAt time.Time
+	lastActive    time.Time
+	waiting       int
+	// inFlight counts the admitted requests that have not ended.
 	inFlight int
-	// arrivals counts requests since the last draw; expected smooths it.
+	// arrivals counts the requests since the last regular draw; expected is its moving average.
 	arrivals int
 	expected float64
-	// dryUntil is when the next token can be expected at the earliest.
-	dryUntil time.Time
-	// answered is when a draw was last answered, or the quota began.
-	answered time.Time
-	// served is when a keeper answered last; zero before that.
-	served   time.Time
-	filledAt time.Time
+	// noTokenUntil is the earliest time at which the grantor expects to have a token.
+	noTokenUntil time.Time
+	// lastHealthy is when the grantor last responded or no draw was needed; initially when the quota was created.
+	lastHealthy time.Time
+	// lastServed is when a grantor last responded; zero before the first response.
+	lastServed time.Time
+	refilledAt time.Time
 }
 
-// NewController returns a Controller of one process of an entry VM.
+// NewController returns a Controller for one process, identified by its incarnation, of an entry VM.
 func NewController(vm, incarnation string) *Controller {
 	return &Controller{
-		vm: vm, incarnation: incarnation, organisations: make(map[string]*quota), asked: make(map[string]draw),
+		vm: vm, incarnation: incarnation, organisations: make(map[string]*quota), pending: make(map[string]pendingDraw),
 	}
 }
 
-// Len returns the count of organisations remembered.
+// Len returns the number of organisations that take memory.
 func (c *Controller) Len() int { return len(c.organisations) }
 
-// Arrive notes a request of an organisation with limits and judges it. retry is when a refused one may come back.
+// Arrive records a request of an organisation with limits and decides on it. For Refuse, retry is the delay after which
+// the caller may try again.
 func (c *Controller) Arrive(organisation string, l Limits, now time.Time) (v Verdict, retry time.Duration) {
 	q := c.organisations[organisation]
 	if q == nil {
-		q = &quota{answered: now, filledAt: now}
+		q = &quota{lastHealthy: now, refilledAt: now}
 		c.organisations[organisation] = q
 	}
-	q.limits, q.active = l, now
+	q.limits, q.lastActive = l, now
 	q.arrivals++
-	return q.judge(now)
+	return q.decide(now)
 }
 
-// Again judges a waiting request once more.
+// Again repeats the decision on a waiting request.
 func (c *Controller) Again(organisation string, now time.Time) (v Verdict, retry time.Duration) {
 	q := c.organisations[organisation]
 	if q == nil {
-		return Refuse, drawEvery
+		return Refuse, drawInterval
 	}
-	return q.judge(now)
+	return q.decide(now)
 }
 
-func (q *quota) judge(now time.Time) (Verdict, time.Duration) {
-	q.fallBack(now)
+// decide takes a token and a unit if both are available, and returns the verdict.
+func (q *quota) decide(now time.Time) (Verdict, time.Duration) {
+	q.applyFallback(now)
 	rate, concurrency := q.limits.Rate > 0, q.limits.Concurrency > 0
 	if rate && q.tokens < 1 {
-		if now.Before(q.dryUntil) {
-			return Refuse, q.dryUntil.Sub(now)
+		if now.Before(q.noTokenUntil) {
+			return Refuse, q.noTokenUntil.Sub(now)
 		}
 		return Wait, 0
 	}
-	if concurrency && (q.inFlight >= q.units || !now.Before(q.until)) {
+	if concurrency && (q.inFlight >= q.units || !now.Before(q.unitsExpireAt)) {
 		return Wait, 0
 	}
 	if rate {
@@ -123,40 +125,41 @@
 	return Admit, 0
 }
 
-// fallBack uses a fixed part of the limits while no draw is answered.
-func (q *quota) fallBack(now time.Time) {
-	if now.Sub(q.answered) < outage {
-		q.filledAt = now
+// applyFallback grants fallbackShare of the limits locally while draws get no response.
+func (q *quota) applyFallback(now time.Time) {
+	if now.Sub(q.lastHealthy) < outageThreshold {
+		q.refilledAt = now
 		return
 	}
 	part := fallbackShare * q.limits.Rate
-	q.tokens = min(max(1, part), q.tokens+part*now.Sub(q.filledAt).Seconds())
-	q.filledAt = now
+	q.tokens = min(max(1, part), q.tokens+part*now.Sub(q.refilledAt).Seconds())
+	q.refilledAt = now
 	q.units = max(1, int(fallbackShare*float64(q.limits.Concurrency)))
-	q.until = now.Add(drawEvery)
+	q.unitsExpireAt = now.Add(drawInterval)
 }
 
-// Leave notes that an admitted request has ended.
+// Leave records that an admitted request has ended.
 func (c *Controller) Leave(organisation string, now time.Time) {
 	if q := c.organisations[organisation]; q != nil {
 		q.inFlight--
-		q.active = now
+		q.lastActive = now
 	}
 }
 
-// Waiting sets how many requests of an organisation wait for it.
+// Waiting sets the number of requests that wait for an organisation's limits.
 func (c *Controller) Waiting(organisation string, n int) {
 	if q := c.organisations[organisation]; q != nil {
 		q.waiting = n
 	}
 }
 
-// Draw returns the next request to a VM that keeps limits; nil when there is nothing to ask it. owns tells which
-// organisations it keeps. regular is true once per drawEvery; in between only organisations with waiting requests draw.
-func (c *Controller) Draw(keeper string, owns func(organisation string) bool, regular bool, now time.Time) *daisyhatchv1.DrawRequest {
+// Draw returns the next request to a grantor, or nil when nothing is needed from it. isGrantor reports whether it grants
+// an organisation's limits. regular is true once per drawInterval; in between, only organisations with waiting requests
+// draw.
+func (c *Controller) Draw(grantor string, isGrantor func(organisation string) bool, regular bool, now time.Time) *daisyhatchv1.DrawRequest {
 	r := &daisyhatchv1.DrawRequest{Vm: c.vm, Incarnation: c.incarnation}
 	for name, q := range c.organisations {
-		if !owns(name) || !regular && q.waiting == 0 {
+		if !isGrantor(name) || !regular && q.waiting == 0 {
 			continue
 		}
 		if regular {
@@ -164,8 +167,8 @@
 			q.arrivals = 0
 		}
 		d := q.demand(name, now)
-		if q.content(d, now) {
-			q.answered = now
+		if q.needsNoDraw(d, now) {
+			q.lastHealthy = now
 			continue
 		}
 		r.Demands = append(r.Demands, d)
@@ -176,23 +179,25 @@
 	slices.SortFunc(r.Demands, func(a, b *daisyhatchv1.QuotaDemand) int { return strings.Compare(a.Organisation, b.Organisation) })
 	c.sequence++
 	r.Sequence = c.sequence
-	c.asked[keeper] = draw{c.sequence, now}
+	c.pending[grantor] = pendingDraw{c.sequence, now}
 	return r
 }
 
-// content reports whether an organisation needs nothing of its keeper. One whose keeper is silent goes on asking.
-func (q *quota) content(d *daisyhatchv1.QuotaDemand, now time.Time) bool {
+// needsNoDraw reports whether an organisation needs nothing from its grantor. While the grantor is silent for longer than
+// outageThreshold, the organisation keeps drawing, to find out when it is back.
+func (q *quota) needsNoDraw(d *daisyhatchv1.QuotaDemand, now time.Time) bool {
 	idle := q.limits.Concurrency == 0 && q.waiting == 0 && d.Tokens == 0 && d.Returned == 0
-	return idle && now.Sub(q.answered) < outage
+	return idle && now.Sub(q.lastHealthy) < outageThreshold
 }
 
+// demand returns what to draw for the waiting and expected requests, and gives back surplus tokens.
 func (q *quota) demand(name string, now time.Time) *daisyhatchv1.QuotaDemand {
 	d := &daisyhatchv1.QuotaDemand{Organisation: name, InFlight: uint32(q.inFlight)}
-	if !q.served.IsZero() {
-		d.UnservedMs = max(1, now.Sub(q.served).Milliseconds())
+	if !q.lastServed.IsZero() {
+		d.UnservedMs = max(1, now.Sub(q.lastServed).Milliseconds())
 	}
 	busy := float64(q.waiting)
-	if ahead := q.expected * (1 + surplus); ahead >= 1 {
+	if ahead := q.expected * (1 + prefetchShare); ahead >= 1 {
 		busy += ahead
 	}
 	if q.limits.Rate > 0 {
@@ -205,7 +210,7 @@
 	}
 	if q.limits.Concurrency > 0 {
 		d.Want = uint32(min(q.inFlight+q.waiting+boolToInt(q.expected >= 0.5), q.limits.Concurrency))
-		if now.Before(q.until) {
+		if now.Before(q.unitsExpireAt) {
 			d.Units = uint32(q.units)
 		}
 	}
@@ -219,40 +224,40 @@
 	return 0
 }
 
-// Apply takes over the answer of a VM that keeps limits. One that doesn't answer the latest request to it is dropped.
-func (c *Controller) Apply(keeper string, r *daisyhatchv1.DrawResponse, now time.Time) {
-	a, ok := c.asked[keeper]
+// Apply applies the response of a grantor. A response to any but the latest request to that grantor is ignored.
+func (c *Controller) Apply(grantor string, r *daisyhatchv1.DrawResponse, now time.Time) {
+	a, ok := c.pending[grantor]
 	if !ok || a.sequence != r.Sequence {
 		return
 	}
-	delete(c.asked, keeper)
+	delete(c.pending, grantor)
 	for _, m := range r.Quotas {
 		q := c.organisations[m.Organisation]
 		if q == nil {
 			continue
 		}
-		q.answered, q.served = now, now
+		q.lastHealthy, q.lastServed = now, now
 		q.tokens += float64(m.Tokens)
 		q.units = int(m.Units)
-		q.until = a.at.Add(time.Duration(m.TtlMs) * time.Millisecond)
-		q.dryUntil = time.Time{}
+		q.unitsExpireAt = a.at.Add(time.Duration(m.TtlMs) * time.Millisecond)
+		q.noTokenUntil = time.Time{}
 		if m.RetryMs > 0 && !m.Learning {
-			q.dryUntil = now.Add(time.Duration(m.RetryMs) * time.Millisecond)
+			q.noTokenUntil = now.Add(time.Duration(m.RetryMs) * time.Millisecond)
 		}
 	}
 }
 
-// Tick forgets organisations without requests.
+// Tick removes the organisations that have had no requests for idleTTL.
 func (c *Controller) Tick(now time.Time) {
 	for name, q := range c.organisations {
-		if q.inFlight == 0 && q.waiting == 0 && now.Sub(q.active) > keepIdle {
+		if q.inFlight == 0 && q.waiting == 0 && now.Sub(q.lastActive) > idleTTL {
 			delete(c.organisations, name)
 		}
 	}
 }
 
-// undo takes an admission back that was not used, since others wait in front.
-func (c *Controller) undo(organisation string) {
+// cancelAdmission reverts the Admit of a request that has to queue behind others.
+func (c *Controller) cancelAdmission(organisation string) {
 	q := c.organisations[organisation]
 	q.inFlight--
 	if q.limits.Rate > 0 {
--- a/pkg/admission/draw.go
+++ b/pkg/admission/draw.go
@@ -13,13 +13,13 @@
 
 // Timing of draws.
 const (
-	// drawTimeout bounds one draw.
+	// drawTimeout is the timeout of one draw call.
 	drawTimeout = time.Second
-	// kickGap is the least time between two draws outside the regular interval.
-	kickGap = 10 * time.Millisecond
+	// minDrawGap is the minimum time between two rounds of draws.
+	minDrawGap = 10 * time.Millisecond
 )
 
-// Start begins to draw from organisations' limits.
+// Start starts drawing from the grantors, if the options name any. It never returns an error.
 func (g *Gate) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// Stop ends the draws. Requests that were admitted go on.
+// Stop stops drawing and waits for the calls in progress. Admitted requests continue. It never returns an error.
 func (g *Gate) Stop(context.Context) error {
 	if g.cancel != nil {
 		g.cancel()
@@ -39,16 +39,17 @@
 	return nil
 }
 
-func (g *Gate) wake() {
+// requestDraw triggers a draw before the regular interval is over.
+func (g *Gate) requestDraw() {
 	select {
-	case g.kick <- struct{}{}:
+	case g.drawNow <- struct{}{}:
 	default:
 	}
 }
 
 func (g *Gate) run(ctx context.Context) {
 	defer g.done.Done()
-	t := time.NewTicker(drawEvery)
+	t := time.NewTicker(drawInterval)
 	defer t.Stop()
 	for {
 		regular := false
@@ -57,18 +58,18 @@
 			return
 		case <-t.C:
 			regular = true
-		case <-g.kick:
+		case <-g.drawNow:
 		}
 		g.drawAll(ctx, regular)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(kickGap):
+		case <-time.After(minDrawGap):
 		}
 	}
 }
 
-// drawAll draws from each control VM that keeps limits of an organisation with requests.
+// drawAll starts a draw from each grantor of an organisation with recent requests, unless one is in progress.
 func (g *Gate) drawAll(ctx context.Context, regular bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,26 +77,26 @@
 	if regular {
 		g.controller.Tick(now)
 	}
-	for _, keeper := range g.keepers() {
-		if g.asking[keeper] {
+	for _, grantor := range g.grantors() {
+		if g.drawing[grantor] {
 			continue
 		}
-		owns := func(organisation string) bool {
+		isGrantor := func(organisation string) bool {
 			a, ok := g.opts.Grantors(grant.ShardOf(organisation))
-			return ok && a == keeper
+			return ok && a == grantor
 		}
-		r := g.controller.Draw(keeper, owns, regular, now)
+		r := g.controller.Draw(grantor, isGrantor, regular, now)
 		if r == nil {
 			continue
 		}
-		g.asking[keeper] = true
+		g.drawing[grantor] = true
 		g.done.Add(1)
-		go g.draw(ctx, keeper, r)
+		go g.draw(ctx, grantor, r)
 	}
 }
 
-// keepers returns the addresses of the VMs that keep limits of organisations with requests.
-func (g *Gate) keepers() []string {
+// grantors returns the addresses of the grantors of all organisations with recent requests.
+func (g *Gate) grantors() []string {
 	seen := make(map[string]bool)
 	var out []string
 	for name := range g.controller.organisations {
@@ -107,22 +108,23 @@
 	return out
 }
 
-func (g *Gate) draw(ctx context.Context, keeper string, r *daisyhatchv1.DrawRequest) {
+// draw calls one grantor, applies its response and then decides on the waiting requests.
+func (g *Gate) draw(ctx context.Context, grantor string, r *daisyhatchv1.DrawRequest) {
 	defer g.done.Done()
 	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
-	client := daisyhatchv1connect.NewGrantServiceClient(g.opts.HTTP, "http://"+keeper)
+	client := daisyhatchv1connect.NewGrantServiceClient(g.opts.HTTP, "http://"+grantor)
 	out, err := client.Draw(ctx, connect.NewRequest(r))
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.asking[keeper] = false
+	g.drawing[grantor] = false
 	now := time.Now()
 	if err != nil {
-		g.opts.Logger.V(1).Info("limits not drawn", "address", keeper, "error", err.Error())
+		g.opts.Logger.V(1).Info("drawing limits from the grantor failed", "address", grantor, "error", err.Error())
 	} else {
-		g.controller.Apply(keeper, out.Msg, now)
+		g.controller.Apply(grantor, out.Msg, now)
 	}
 	for _, d := range r.Demands {
-		g.serve(d.Organisation, now)
+		g.releaseWaiting(d.Organisation, now)
 	}
 }
--- a/pkg/admission/gate.go
+++ b/pkg/admission/gate.go
@@ -12,65 +12,71 @@
 	"github.com/daisyhatch/daisyhatch/pkg/apierr"
 )
 
-// Bounds of what callers are told and of who may wait.
 const (
+	// minRetryAfter and maxRetryAfter bound the retry delay in refusals.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// maxWaiting bounds the requests of one organisation that wait for its limits, per unit of concurrency and one.
-	maxWaiting = 16
-	// forecastShare is the part of the remaining time that a forecast may take up.
+	// waitersPerUnit is the number of an organisation's requests that may wait per unit of concurrency, counting one unit
+	// more than its limit.
+	waitersPerUnit = 16
+	// forecastShare is the fraction of the time to the deadline that the forecast duration of an admitted request may use.
 	forecastShare = 0.9
 )
 
-// Request is one caller's request at the door.
+// Request is a request to be admitted.
 type Request struct {
 	Organisation string
 	Pipeline     string
-	// Priority grows with urgency, 0 to 9.
+	// Priority is 0 to 9; higher values are more urgent.
 	Priority int
-	// Deadline is when the caller needs the answer.
+	// Deadline is when the caller needs the response.
 	Deadline time.Time
 }
 
-// Options are what a Gate needs. A Gate without Limits keeps none, one without Forecast refuses nothing early.
+// Options configure a Gate. Without Limits, no organisation is limited; without Forecast, no request is refused for its
+// expected duration.
 type Options struct {
 	VM          string
 	Incarnation string
-	// Limits returns the limits of an organisation in the configuration in force.
+	// Limits returns the limits of an organisation in the current configuration.
 	Limits func(organisation string) Limits
-	// Forecast returns how long a request would take now, queues included; 0 while unknown.
+	// Forecast returns the expected duration of a request that starts now, time in queues included; 0 while unknown.
 	Forecast func(pipeline, organisation string) time.Duration
-	// Grantors returns the address, IP:port, of the control VM that grants a shard; false when none is known.
+	// Grantors returns the address, IP:port, of the control VM that grants the limits of a shard; false when unknown.
 	Grantors func(shard uint32) (address string, ok bool)
 	// HTTP is the client for calls to control VMs.
 	HTTP   connect.HTTPClient
 	Logger logr.Logger
 }
 
-// Gate admits requests. It is safe for concurrent use.
+// Gate admits, queues or refuses requests. It is safe for concurrent use.
 type Gate struct {
 	opts Options
 
 	mu         sync.Mutex
 	controller *Controller
 	queue      *Queue[*waiter]
-	asking     map[string]bool
+	// drawing holds the addresses of the grantors with a draw in progress.
+	drawing map[string]bool
 
-	kick   chan struct{}
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	// drawNow triggers a draw before the regular interval is over.
+	drawNow chan struct{}
+	cancel  context.CancelFunc
+	done    sync.WaitGroup
 }
 
 // waiter is a request that waits for its organisation's limits.
 type waiter struct {
+	// ready is closed once the request is admitted or refused.
 	ready chan struct{}
 	// err is the refusal; nil when the request was admitted.
 	err *apierr.Error
-	// ended is true once ready is closed.
-	ended bool
+	// done is true once ready is closed.
+	done bool
 }
 
-// NewGate returns a Gate that is not started. Without options it admits all.
+// NewGate returns a Gate that is not started. Without options it admits every request whose deadline has not passed. Only
+// the first Options value is used.
 func NewGate(opts ...Options) *Gate {
 	var o Options
 	if len(opts) > 0 {
@@ -80,16 +86,17 @@
 		opts:       o,
 		controller: NewController(o.VM, o.Incarnation),
 		queue:      NewQueue[*waiter](),
-		asking:     make(map[string]bool),
-		kick:       make(chan struct{}, 1),
+		drawing:    make(map[string]bool),
+		drawNow:    make(chan struct{}, 1),
 	}
 }
 
-// Enter waits until the request may start. The caller calls leave once when the request has ended. A request that
-// can't be done in time, or is above its organisation's rate, is refused at once. Errors are *apierr.Error with NotRun.
+// Enter waits until the request may start. The caller must call leave when the request has ended; further calls of leave
+// do nothing. A request that can't meet its deadline, or exceeds its organisation's rate, is refused immediately. Errors
+// are *apierr.Error with NotRun.
 func (g *Gate) Enter(ctx context.Context, r Request) (leave func(), err error) {
 	now := time.Now()
-	if e := g.hopeless(r, now); e != nil {
+	if e := g.checkDeadline(r, now); e != nil {
 		return nil, e
 	}
 	l := g.limits(r.Organisation)
@@ -107,9 +114,9 @@
 		g.mu.Unlock()
 		return g.leave(r.Organisation), nil
 	case v == Admit:
-		g.controller.undo(r.Organisation)
+		g.controller.cancelAdmission(r.Organisation)
 	}
-	if waiting >= mostWaiting(l) {
+	if waiting >= queueLimit(l) {
 		g.mu.Unlock()
 		return nil, rateLimited(r.Organisation, time.Second)
 	}
@@ -117,17 +124,18 @@
 	it := g.queue.Push(r.Organisation, 1, r.Priority, w)
 	g.controller.Waiting(r.Organisation, waiting+1)
 	g.mu.Unlock()
-	g.wake()
+	g.requestDraw()
 	return g.wait(ctx, r, it)
 }
 
-// mostWaiting returns how many requests of an organisation may wait: while nobody keeps its limits, all below its rate.
-func mostWaiting(l Limits) int {
-	return maxWaiting*(1+l.Concurrency) + int(l.Rate*outage.Seconds())
+// queueLimit returns how many requests of an organisation may wait. It leaves room for all requests below the rate that
+// arrive within outageThreshold without a grantor.
+func queueLimit(l Limits) int {
+	return waitersPerUnit*(1+l.Concurrency) + int(l.Rate*outageThreshold.Seconds())
 }
 
-// hopeless refuses a request whose forecast ends after its deadline.
-func (g *Gate) hopeless(r Request, now time.Time) error {
+// checkDeadline returns an error if the deadline has passed or the forecast exceeds forecastShare of the time left.
+func (g *Gate) checkDeadline(r Request, now time.Time) error {
 	left := r.Deadline.Sub(now)
 	if left <= 0 {
 		return apierr.New(http.StatusGatewayTimeout, apierr.DeadlineExceeded, "the deadline has passed")
@@ -139,15 +147,15 @@
 	if float64(takes) <= forecastShare*float64(left) {
 		return nil
 	}
-	return apierr.New(http.StatusServiceUnavailable, apierr.Overloaded, "%s would take longer than the deadline allows now", r.Pipeline).
-		After(clip(takes - left))
+	return apierr.New(http.StatusServiceUnavailable, apierr.Overloaded, "%s is expected to take longer than the deadline allows", r.Pipeline).
+		After(clampRetryAfter(takes - left))
 }
 
-func clip(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
+func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
 func rateLimited(organisation string, retry time.Duration) *apierr.Error {
 	return apierr.New(http.StatusTooManyRequests, apierr.RateLimited, "organisation %s is at its limit", organisation).
-		After(clip(retry))
+		After(clampRetryAfter(retry))
 }
 
 func (g *Gate) limits(organisation string) Limits {
@@ -157,6 +165,7 @@
 	return g.opts.Limits(organisation)
 }
 
+// wait waits until a queued request is admitted or refused, its deadline passes or ctx is cancelled.
 func (g *Gate) wait(ctx context.Context, r Request, it *Item[*waiter]) (func(), error) {
 	w := it.Value
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
@@ -164,7 +173,7 @@
 	select {
 	case <-w.ready:
 	case <-ctx.Done():
-		g.giveUp(r, it)
+		g.cancelWait(r, it)
 		<-w.ready
 	}
 	if w.err != nil {
@@ -173,11 +182,11 @@
 	return g.leave(r.Organisation), nil
 }
 
-// giveUp takes a request out of the queue, unless it was let in at the same moment.
-func (g *Gate) giveUp(r Request, it *Item[*waiter]) {
+// cancelWait removes a request from the queue and refuses it, unless it has been decided on meanwhile.
+func (g *Gate) cancelWait(r Request, it *Item[*waiter]) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if it.Value.ended {
+	if it.Value.done {
 		return
 	}
 	g.queue.Remove(it)
@@ -185,13 +194,14 @@
 	it.Value.end(rateLimited(r.Organisation, time.Second))
 }
 
+// end wakes the waiting request: admitted if err is nil, refused otherwise.
 func (w *waiter) end(err *apierr.Error) {
-	w.ended = true
+	w.done = true
 	w.err = err
 	close(w.ready)
 }
 
-// leave returns the func that ends an admitted request.
+// leave returns the function to be called when an admitted request has ended.
 func (g *Gate) leave(organisation string) func() {
 	var once sync.Once
 	return func() {
@@ -200,13 +210,13 @@
 			defer g.mu.Unlock()
 			now := time.Now()
 			g.controller.Leave(organisation, now)
-			g.serve(organisation, now)
+			g.releaseWaiting(organisation, now)
 		})
 	}
 }
 
-// serve lets waiting requests of an organisation in, or refuses them, as far as its limits tell.
-func (g *Gate) serve(organisation string, now time.Time) {
+// releaseWaiting admits or refuses an organisation's waiting requests in order, until one has to keep waiting.
+func (g *Gate) releaseWaiting(organisation string, now time.Time) {
 	for it := g.queue.Head(organisation); it != nil; it = g.queue.Head(organisation) {
 		v, retry := g.controller.Again(organisation, now)
 		if v == Wait {
--- a/pkg/admission/handover.go
+++ b/pkg/admission/handover.go
@@ -8,7 +8,8 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// Export returns what is left of the limits that were kept under a fence, of the organisations in a shard.
+// Export returns the state of the organisations with this fencing number for which in returns true, sorted by name. It is
+// passed to Import on the shard's next grantor.
 func (a *Allotter) Export(in func(organisation string) bool, fence uint64) []*daisyhatchv1.LimitState {
 	var out []*daisyhatchv1.LimitState
 	for name, o := range a.organisations {
@@ -30,16 +31,16 @@
 	return out
 }
 
-// Import takes over limits that another VM kept, for the fence under which they are kept from now on. What holders have
-// told under that fence already stands.
+// Import adds the state that the former grantor exported. fence is the shard's new fencing number. State that holders have
+// already reported under that number is kept.
 func (a *Allotter) Import(states []*daisyhatchv1.LimitState, fence uint64, now time.Time) {
 	for _, m := range states {
 		o := a.organisations[m.Organisation]
 		if o == nil || o.fence != fence {
-			o = &account{fence: fence, filledAt: now}
+			o = &account{fence: fence, refilledAt: now}
 			a.organisations[m.Organisation] = o
 		}
-		// The present limits cap the bucket when it is filled next.
+		// The next refill caps the bucket at the current limits.
 		o.tokens += m.Tokens
 		for _, l := range m.Loans {
 			o.importLoan(l, now)
@@ -54,6 +55,6 @@
 		o.holders = append(o.holders, loan{holder: key, units: int(l.Units), want: int(l.Want), at: now})
 		return
 	}
-	// The holder may have got more from the former keeper since it asked this one.
+	// The holder may have been lent more by the former grantor after its draw from this one.
 	o.holders[i].units = max(o.holders[i].units, int(l.Units))
 }
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -1,6 +1,6 @@
-// Package admission decides which requests start: a weighted fair queue between organisations, limits of rate and
-// concurrency, and early refusal of what can't meet its deadline. Controller is pure; Gate makes it safe for
-// concurrent use and lets callers wait.
+// Package admission decides which requests start: by a weighted fair queue between organisations, by limits on rate and
+// concurrency, and by early refusal of requests that can't meet their deadline. Controller and Allotter do no I/O; Gate
+// makes a Controller safe for concurrent use and lets callers wait.
 package admission
 
 import "container/heap"
@@ -10,21 +10,22 @@
 type Queue[T any] struct {
 	flows map[string]*flow[T]
 	heap  flowHeap[T]
-	// virtual is the virtual start time of the item served last.
-	virtual float64
-	// weights is the sum over flows.
-	weights float64
-	size    int
-	arrived uint64
+	// virtualTime is the virtual start time of the item served last.
+	virtualTime float64
+	// totalWeight is the sum of the weights of flows.
+	totalWeight float64
+	size        int
+	pushed      uint64
 }
 
-// flow is one organisation's items.
+// flow holds the items of one organisation.
 type flow[T any] struct {
 	organisation string
 	weight       float64
 	// start is the virtual start time of the first item.
 	start float64
 	items itemHeap[T]
+	// index is the position in the Queue's heap; -1 when not in it.
 	index int
 }
 
@@ -34,8 +35,10 @@
 
 	flow     *flow[T]
 	priority int
-	order    uint64
-	index    int
+	// order is the number of the push; items of equal priority are served in this order.
+	order uint64
+	// index is the position in the flow's heap; -1 once removed.
+	index int
 }
 
 // NewQueue returns an empty Queue.
@@ -43,10 +46,10 @@
 	return &Queue[T]{flows: make(map[string]*flow[T])}
 }
 
-// Len returns the count of items.
+// Len returns the number of items.
 func (q *Queue[T]) Len() int { return q.size }
 
-// LenOf returns the count of one organisation's items.
+// LenOf returns the number of one organisation's items.
 func (q *Queue[T]) LenOf(organisation string) int {
 	f := q.flows[organisation]
 	if f == nil {
@@ -55,16 +58,17 @@
 	return len(f.items)
 }
 
-// Push adds an item. Weights of 0 and less count as 1.
+// Push adds an item. Within an organisation, items with a higher priority come first. The weight is that of the
+// organisation and is used only if it has no items yet; weights below 1 count as 1.
 func (q *Queue[T]) Push(organisation string, weight, priority int, v T) *Item[T] {
 	f := q.flows[organisation]
 	if f == nil {
-		f = &flow[T]{organisation: organisation, weight: float64(max(weight, 1)), start: q.virtual, index: -1}
+		f = &flow[T]{organisation: organisation, weight: float64(max(weight, 1)), start: q.virtualTime, index: -1}
 		q.flows[organisation] = f
-		q.weights += f.weight
+		q.totalWeight += f.weight
 	}
-	q.arrived++
-	it := &Item[T]{Value: v, flow: f, priority: priority, order: q.arrived}
+	q.pushed++
+	it := &Item[T]{Value: v, flow: f, priority: priority, order: q.pushed}
 	heap.Push(&f.items, it)
 	if f.index < 0 {
 		heap.Push(&q.heap, f)
@@ -73,7 +77,7 @@
 	return it
 }
 
-// Peek returns the next item without taking it; nil when the queue is empty.
+// Peek returns the next item without removing it, or nil when the queue is empty.
 func (q *Queue[T]) Peek() *Item[T] {
 	if len(q.heap) == 0 {
 		return nil
@@ -81,7 +85,7 @@
 	return q.heap[0].items[0]
 }
 
-// Pop takes the next item; nil when the queue is empty.
+// Pop removes and returns the next item, or nil when the queue is empty.
 func (q *Queue[T]) Pop() *Item[T] {
 	it := q.Peek()
 	if it != nil {
@@ -90,15 +94,15 @@
 	return it
 }
 
-// Serve takes an item, in turn or not, and charges its organisation for it.
+// Serve removes an item, which need not be the next one, and charges its organisation for it.
 func (q *Queue[T]) Serve(it *Item[T]) {
 	f := it.flow
-	q.virtual = max(q.virtual, f.start)
-	f.start = max(f.start, q.virtual) + 1/f.weight
+	q.virtualTime = max(q.virtualTime, f.start)
+	f.start = max(f.start, q.virtualTime) + 1/f.weight
 	q.Remove(it)
 }
 
-// Remove drops an item without charging for it. Dropping one that is not queued any more does nothing.
+// Remove removes an item without charging its organisation. It does nothing if the item is no longer queued.
 func (q *Queue[T]) Remove(it *Item[T]) {
 	f := it.flow
 	if it.index < 0 {
@@ -109,13 +113,13 @@
 	if len(f.items) == 0 {
 		heap.Remove(&q.heap, f.index)
 		delete(q.flows, f.organisation)
-		q.weights -= f.weight
+		q.totalWeight -= f.weight
 		return
 	}
 	heap.Fix(&q.heap, f.index)
 }
 
-// Each calls f for each organisation's next item, in no special order, until f returns false.
+// Each calls f with each organisation's next item, in no particular order, until f returns false.
 func (q *Queue[T]) Each(f func(*Item[T]) bool) {
 	for _, fl := range q.heap {
 		if !f(fl.items[0]) {
@@ -187,7 +191,7 @@
 }
 
 // Weights returns the sum of the weights of the organisations that have items.
-func (q *Queue[T]) Weights() float64 { return q.weights }
+func (q *Queue[T]) Weights() float64 { return q.totalWeight }
 
 // WeightOf returns the weight of an organisation that has items; 0 when it has none.
 func (q *Queue[T]) WeightOf(organisation string) float64 {
@@ -197,7 +201,7 @@
 	return 0
 }
 
-// Head returns the next item of one organisation; nil when it has none.
+// Head returns the next item of one organisation, or nil when it has none.
 func (q *Queue[T]) Head(organisation string) *Item[T] {
 	if f := q.flows[organisation]; f != nil {
 		return f.items[0]
