--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry limits retries and hedges to a share of recent traffic, so that they can't multiply load when
-// many servers fail at once.
+// Package retry limits retries and hedged calls to a fraction of recent traffic, so that they can't multiply the load
+// when many servers fail at once.
 package retry
 
 import (
@@ -7,45 +7,48 @@
 	"time"
 )
 
-// Defaults of a Budget.
+// Default parameters of a Budget, and the bounds on unused allowance.
 const (
-	// DefaultShare is the count of retries allowed for each first attempt.
+	// DefaultShare is the number of retries allowed per first attempt.
 	DefaultShare = 0.1
-	// DefaultReserve is the count of retries a second allowed whatever the traffic.
+	// DefaultReserve is the number of retries per second allowed regardless of traffic.
 	DefaultReserve = 1.0
-	// window bounds how long unused allowance is kept, as seconds of recent traffic.
+	// window is the period over which first attempts count as recent traffic; unused allowance is capped at the share of
+	// that traffic.
 	window = 10 * time.Second
-	// leastKept is the allowance that is kept at least, so that a quiet VM can retry a few times.
-	leastKept = 10.0
+	// minCap is the minimum cap on unused retries, so that a VM with little traffic can still retry a few times.
+	minCap = 10.0
 )
 
-// Budget holds the allowance for retries. It is safe for concurrent use.
+// Budget is a token bucket of allowed retries. It is safe for concurrent use.
 type Budget struct {
 	share   float64
 	reserve float64
 
-	mu      sync.Mutex
-	tokens  float64
-	rate    float64
+	mu     sync.Mutex
+	tokens float64
+	// recentAttempts is the decayed number of first attempts within the window.
+	recentAttempts float64
+	// last is when tokens and rate were last brought up to date.
 	last    time.Time
 	refused uint64
 }
 
-// NewBudget returns a Budget that allows share retries for each first attempt, and reserve retries a second besides.
+// NewBudget returns a Budget that allows share retries per first attempt plus reserve retries per second.
 func NewBudget(share, reserve float64) *Budget {
-	return &Budget{share: share, reserve: reserve, tokens: leastKept}
+	return &Budget{share: share, reserve: reserve, tokens: minCap}
 }
 
-// Attempt notes a first attempt at time now.
+// Attempt records a first attempt at time now, which adds to the budget.
 func (b *Budget) Attempt(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
-	b.rate++
-	b.tokens = min(b.tokens+b.share, b.kept())
+	b.recentAttempts++
+	b.tokens = min(b.tokens+b.share, b.maxTokens())
 }
 
-// Allow takes one retry out of the budget. It returns false when none is left.
+// Allow takes one retry from the budget. It returns false when the budget is used up.
 func (b *Budget) Allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,21 +61,22 @@
 	return true
 }
 
-// Return puts back a retry that was allowed and not made.
+// Return puts back a retry that was allowed but not made.
 func (b *Budget) Return() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+1, b.kept())
+	b.tokens = min(b.tokens+1, b.maxTokens())
 }
 
-// Refused returns how many retries were not allowed.
+// Refused returns how many calls of Allow have returned false.
 func (b *Budget) Refused() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.refused
 }
 
-// advance adds the reserve for the time since the last call and lets the count of recent attempts decay.
+// advance adds the reserve for the time since the last call and decays the count of recent attempts. It ignores a clock
+// that goes backwards.
 func (b *Budget) advance(now time.Time) {
 	if b.last.IsZero() {
 		b.last = now
@@ -83,16 +87,16 @@
 		return
 	}
 	b.last = now
-	b.rate *= decay(d)
-	b.tokens = min(b.tokens+b.reserve*d.Seconds(), b.kept())
+	b.recentAttempts *= decay(d)
+	b.tokens = min(b.tokens+b.reserve*d.Seconds(), b.maxTokens())
 }
 
-// kept is the most allowance that is kept.
-func (b *Budget) kept() float64 {
-	return max(leastKept, b.rate*b.share)
+// maxTokens returns the cap on unused retries.
+func (b *Budget) maxTokens() float64 {
+	return max(minCap, b.recentAttempts*b.share)
 }
 
-// decay is the weight that attempts keep after d: linear over the window.
+// decay returns the factor by which the attempt count shrinks after d: linear from 1 to 0 over the window.
 func decay(d time.Duration) float64 {
 	return max(0, 1-d.Seconds()/window.Seconds())
 }
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -10,19 +10,19 @@
 	"github.com/daisyhatch/daisyhatch/pkg/retry"
 )
 
-// TestRetriesStayWithinTheirShare fails every call for a minute at random rates: however many retries are asked for, those
-// allowed are a share of the first attempts, and the reserve.
+// TestRetriesStayWithinTheirShare simulates a minute in which every call fails, at random intervals. However many retries
+// are requested, the allowed ones must not exceed the share of first attempts plus the reserve.
 func TestRetriesStayWithinTheirShare(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		b := retry.NewBudget(retry.DefaultShare, retry.DefaultReserve)
 		now := time.Unix(0, 0)
 		begin := now
-		var first, allowed int
+		var attempts, allowed int
 		for now.Sub(begin) < time.Minute {
 			now = now.Add(time.Duration(rng.Int64N(int64(10 * time.Millisecond))))
 			b.Attempt(now)
-			first++
+			attempts++
 			for range rng.IntN(4) {
 				if b.Allow(now) {
 					allowed++
@@ -30,9 +30,9 @@
 			}
 		}
 		const kept = 10
-		most := retry.DefaultShare*float64(first) + retry.DefaultReserve*now.Sub(begin).Seconds() + kept
-		require.LessOrEqual(t, float64(allowed), most+1, "seed %d", seed)
-		require.Greater(t, float64(allowed), 0.9*retry.DefaultShare*float64(first), "seed %d: allowance unused", seed)
+		limit := retry.DefaultShare*float64(attempts) + retry.DefaultReserve*now.Sub(begin).Seconds() + kept
+		require.LessOrEqual(t, float64(allowed), limit+1, "seed %d", seed)
+		require.Greater(t, float64(allowed), 0.9*retry.DefaultShare*float64(attempts), "seed %d: allowance unused", seed)
 		require.Positive(t, b.Refused())
 	}
 }
@@ -51,7 +51,7 @@
 	require.Equal(t, 10, allowed)
 }
 
-func TestClockThatGoesBackGivesNothing(t *testing.T) {
+func TestBackwardClockAddsNoAllowance(t *testing.T) {
 	b := retry.NewBudget(0, 1)
 	now := time.Unix(1000, 0)
 	for b.Allow(now) {
