--- a/pkg/deadline/deadline.go
+++ b/pkg/deadline/deadline.go
@@ -1,58 +1,60 @@
-// Package deadline divides the one deadline of a request among the stages that are still to run.
+// Package deadline divides the time until a request's deadline among the stages that have yet to run.
 package deadline
 
 import "time"
 
-// Need tells what one step is expected to take.
+// Need is the time that one step is expected to take.
 type Need struct {
-	// Minimum is the least time that the step takes, by configuration.
+	// Minimum is the configured minimum duration of the step.
 	Minimum time.Duration
-	// Typical and High are learned quantiles (the median and a high one); 0 while nothing is known.
+	// Typical and High are measured quantiles of the step's duration, the median and a high one; 0 while unknown.
 	Typical time.Duration
 	High    time.Duration
 }
 
-// least is the time without which the step can't succeed in all likelihood.
+// least returns the time below which the step is unlikely to succeed.
 func (n Need) least() time.Duration {
 	return max(n.Minimum, n.Typical)
 }
 
-// likely is the time within which the step succeeds nearly always.
+// likely returns the time within which the step nearly always succeeds.
 func (n Need) likely() time.Duration {
 	return max(n.least(), n.High)
 }
 
-// Share tells how long a step may go on.
+// Share is a step's part of the time until the deadline.
 type Share struct {
-	// Target is when the step should be done so that those behind it get what they need nearly always.
+	// Target is when the step should be done so that the later steps nearly always get the time that they need.
 	Target time.Time
-	// Cut is when going on is pointless, since the minimum of the steps behind does not fit any more.
+	// Cut is when the step is to be abandoned, since after it the minimum durations of the later steps no longer fit
+	// before the deadline.
 	Cut time.Time
 }
 
-// Of returns the share of a step that starts at now, with the steps behind it. What is left over once every step has its
-// need goes to the steps in proportion to their needs; what is lacking is taken from them likewise.
-func Of(now, deadline time.Time, own Need, behind []Need) Share {
+// Of returns the share of a step that starts at now and is followed by the later steps. The time until the deadline is
+// divided in proportion to the steps' needs, whether it is more or less than their sum, and equally while no need is known.
+// The last step gets all of it. Target is never after Cut.
+func Of(now, deadline time.Time, own Need, later []Need) Share {
 	var minimums, total time.Duration
-	for _, n := range behind {
+	for _, n := range later {
 		minimums += n.Minimum
 		total += n.likely()
 	}
 	cut := deadline.Add(-minimums)
 	left := deadline.Sub(now)
-	if left <= 0 || len(behind) == 0 {
+	if left <= 0 || len(later) == 0 {
 		return Share{Target: cut, Cut: cut}
 	}
 	total += own.likely()
 	if total <= 0 {
-		each := left / time.Duration(len(behind)+1)
+		each := left / time.Duration(len(later)+1)
 		return Share{Target: earlier(now.Add(each), cut), Cut: cut}
 	}
 	part := float64(own.likely()) / float64(total)
 	return Share{Target: earlier(now.Add(time.Duration(float64(left)*part)), cut), Cut: cut}
 }
 
-// Meetable reports whether the steps can still be done by the deadline in all likelihood.
+// Meetable reports whether the steps, run one after the other from now, are likely to finish by the deadline.
 func Meetable(now, deadline time.Time, steps []Need) bool {
 	var sum time.Duration
 	for _, n := range steps {
--- a/pkg/deadline/deadline_test.go
+++ b/pkg/deadline/deadline_test.go
@@ -30,34 +30,34 @@
 	}
 }
 
-// TestSharesLeaveTheStagesBehindTheirMinimum checks that a share never takes what the steps behind need by configuration.
-func TestSharesLeaveTheStagesBehindTheirMinimum(t *testing.T) {
+// TestShareLeavesLaterStepsTheirMinimum checks that a share always leaves the later steps their configured minimum.
+func TestShareLeavesLaterStepsTheirMinimum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
-		own, behind := need(t), rapid.SliceOfN(rapid.Custom(need), 0, 5).Draw(t, "behind")
+		own, later := need(t), rapid.SliceOfN(rapid.Custom(need), 0, 5).Draw(t, "behind")
 		end := now.Add(time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "left")))
-		s := deadline.Of(now, end, own, behind)
+		s := deadline.Of(now, end, own, later)
 		var minimums time.Duration
-		for _, n := range behind {
+		for _, n := range later {
 			minimums += n.Minimum
 		}
 		require.Equal(t, end.Add(-minimums), s.Cut)
 		require.False(t, s.Target.After(s.Cut))
-		if len(behind) == 0 {
+		if len(later) == 0 {
 			require.Equal(t, end, s.Target)
 		}
 	})
 }
 
-// TestLeftOverTimeIsShared checks that with time to spare a step gets more than it needs, and so do those behind.
-func TestLeftOverTimeIsShared(t *testing.T) {
+// TestTimeIsSharedInProportionToNeed checks that both surplus time and a shortage are divided in proportion to the needs.
+func TestTimeIsSharedInProportionToNeed(t *testing.T) {
 	now := time.Unix(0, 0)
 	own := deadline.Need{Typical: 100 * time.Millisecond, High: 200 * time.Millisecond}
-	behind := []deadline.Need{{Typical: 400 * time.Millisecond, High: 800 * time.Millisecond}}
-	s := deadline.Of(now, now.Add(5*time.Second), own, behind)
+	later := []deadline.Need{{Typical: 400 * time.Millisecond, High: 800 * time.Millisecond}}
+	s := deadline.Of(now, now.Add(5*time.Second), own, later)
 	require.Equal(t, now.Add(time.Second), s.Target)
-	s = deadline.Of(now, now.Add(500*time.Millisecond), own, behind)
-	require.Equal(t, now.Add(100*time.Millisecond), s.Target, "what is lacking is taken in proportion")
+	s = deadline.Of(now, now.Add(500*time.Millisecond), own, later)
+	require.Equal(t, now.Add(100*time.Millisecond), s.Target, "a shortage is divided in proportion to the needs")
 }
 
 func TestMeetable(t *testing.T) {
