--- a/pkg/cost/cost.go
+++ b/pkg/cost/cost.go
@@ -1,4 +1,5 @@
-// Package cost books what stages cost, by pipeline, organisation and stage, with the part that was wasted apart.
+// Package cost accumulates the cost of stage calls by pipeline, organisation and stage, and separately the part of it
+// that was wasted.
 package cost
 
 import (
@@ -8,33 +9,35 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// MaxAccounts bounds the count of accounts between two calls of Take; bookings beyond go to one account called Other.
+// MaxAccounts is the maximum number of accounts between two calls of Take. Once it is reached, calls on a new account are
+// added to the account of the same pipeline and stage with the organisation Other.
 const MaxAccounts = 65536
 
-// Other is the organisation under which bookings beyond MaxAccounts are kept.
+// Other is the organisation to which calls beyond MaxAccounts are charged.
 const Other = "(other)"
 
-// Account names what a cost is booked on.
+// Account is the key under which costs are summed.
 type Account struct {
 	Pipeline     string
 	Organisation string
 	Stage        string
 }
 
-// Entry is what was booked on an account.
+// Entry is the sum of the calls on an account.
 type Entry struct {
-	// Cost is in the users' unit of account, Wasted included.
-	Cost   float64
+	// Cost is in the users' unit of account and includes Wasted.
+	Cost float64
+	// Wasted is the cost of the calls that were marked as wasted.
 	Wasted float64
 	Calls  uint64
 }
 
-// Of returns the cost of a call that kept a server busy for d.
+// Of returns the cost of a call that occupied a server for d, at a price of perSecond.
 func Of(d time.Duration, perSecond float64) float64 {
 	return d.Seconds() * perSecond
 }
 
-// Book holds the bookings since the last Take. It is safe for concurrent use.
+// Book accumulates costs until the next Take. Its methods are safe for concurrent use.
 type Book struct {
 	mu       sync.Mutex
 	accounts map[Account]Entry
@@ -45,7 +48,7 @@
 	return &Book{accounts: make(map[Account]Entry)}
 }
 
-// Add books one call. A nil Book books nothing.
+// Add adds one call's cost to an account. It does nothing on a nil Book.
 func (b *Book) Add(a Account, amount float64, wasted bool) {
 	if b == nil {
 		return
@@ -65,7 +68,7 @@
 	b.accounts[a] = e
 }
 
-// Take returns the bookings since the last Take and empties the book.
+// Take returns the costs since the last Take, in no particular order, and resets the Book.
 func (b *Book) Take() []*daisyhatchv1.StageCost {
 	b.mu.Lock()
 	accounts := b.accounts
--- a/pkg/cost/cost_test.go
+++ b/pkg/cost/cost_test.go
@@ -10,7 +10,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/cost"
 )
 
-func TestBookKeepsWasteApart(t *testing.T) {
+func TestBookSumsWastedCostSeparately(t *testing.T) {
 	b := cost.NewBook()
 	a := cost.Account{Pipeline: "p", Organisation: "o", Stage: "s"}
 	b.Add(a, cost.Of(2*time.Second, 0.5), false)
@@ -21,8 +21,8 @@
 	require.InDelta(t, 0.5, got[0].GetWasted(), 1e-9)
 	require.Equal(t, uint64(2), got[0].GetCalls())
 	require.Empty(t, b.Take())
-	var none *cost.Book
-	none.Add(a, 1, false)
+	var nilBook *cost.Book
+	nilBook.Add(a, 1, false)
 }
 
 func TestAccountsAreBoundedAndNothingIsLost(t *testing.T) {
