--- a/pkg/order/order.go
+++ b/pkg/order/order.go
@@ -1,5 +1,5 @@
-// Package order keeps the operators' orders to engines: what is wanted, under which fencing number, and what was
-// read back. It is pure and deterministic.
+// Package order stores the operators' orders to engines: the wanted state, its fencing number, and the state that the
+// servers have reported back. It does no I/O and is deterministic, so that it can run in a replicated state machine.
 package order
 
 import (
@@ -15,34 +15,34 @@
 
 // Errors of this package.
 var (
-	// ErrCommand means that a command is malformed; nothing was changed.
+	// ErrCommand means that a command is malformed; the Book is unchanged.
 	ErrCommand = errors.New("order: malformed command")
-	// ErrReused means that the order ID was used before with other content.
-	ErrReused = errors.New("order: order ID used before with other content")
-	// ErrUnknown means that no such order stands.
+	// ErrReused means that the order ID was used before with different content.
+	ErrReused = errors.New("order: order ID used before with different content")
+	// ErrUnknown means that there is no order with this ID.
 	ErrUnknown = errors.New("order: unknown order")
-	// ErrFull means that too many orders stand; withdraw some first.
+	// ErrFull means that MaxOrders is reached; an order has to be withdrawn first.
 	ErrFull = errors.New("order: too many orders")
-	// ErrSnapshot means that a snapshot contradicts itself.
+	// ErrSnapshot means that a snapshot is inconsistent: it has a duplicate order ID or exceeds a limit.
 	ErrSnapshot = errors.New("order: bad snapshot")
 )
 
-// Limits of the state.
+// Limits on the size of the state.
 const (
-	// MaxOrders is the count of standing orders.
+	// MaxOrders is the maximum number of active orders.
 	MaxOrders = 1_024
-	// MaxEnded is the count of ended orders whose IDs are remembered.
+	// MaxEnded is the maximum number of ended orders that are kept to recognise resends.
 	MaxEnded = 1_024
-	// MaxProgress is the count of servers in one order's progress.
+	// MaxProgress is the maximum number of servers in one order's progress.
 	MaxProgress = 4_096
-	// MaxField is the size of each text field in bytes.
+	// MaxField is the maximum size of a text field in bytes.
 	MaxField = 512
 )
 
-// Book holds the standing orders, and those that ended lately. It isn't safe for concurrent use.
+// Book holds the active orders and those that ended recently. It isn't safe for concurrent use.
 type Book struct {
 	orders map[string]*daisyhatchv1.Order
-	// ended holds what was withdrawn or replaced, oldest first, so that a late resend doesn't bring it back.
+	// ended holds the withdrawn and replaced orders, oldest first, so that a late resend doesn't activate one again.
 	ended []*daisyhatchv1.Order
 }
 
@@ -51,11 +51,12 @@
 	return &Book{orders: make(map[string]*daisyhatchv1.Order)}
 }
 
-// Submit records or withdraws an intent at a log index, its fencing number. An intent for the same subject replaces
-// the older one. A resend gets the order as it is by now, and brings none back that ended. Errors: ErrCommand,
-// ErrReused, ErrUnknown, ErrFull.
+// Submit records or withdraws an order. The log index of the command becomes the fencing number of a new order, or the
+// end index of a withdrawn one. A new order ends the older one with the same server, pool and kind. A resend of a known
+// order returns its current state and doesn't activate one that has ended. Errors: ErrCommand, ErrReused, ErrUnknown,
+// ErrFull.
 func (b *Book) Submit(c *daisyhatchv1.OrderCommand, index uint64, nowMs int64) (*daisyhatchv1.Order, error) {
-	if err := check(c); err != nil {
+	if err := validate(c); err != nil {
 		return nil, err
 	}
 	old := b.find(c.GetOrderId())
@@ -65,7 +66,7 @@
 	case c.GetWithdraw():
 		b.end(old, index)
 		return proto.CloneOf(old), nil
-	case old != nil && !same(old, c):
+	case old != nil && !sameContent(old, c):
 		return nil, fmt.Errorf("%w: %s", ErrReused, c.GetOrderId())
 	case old != nil:
 		return proto.CloneOf(old), nil
@@ -73,7 +74,7 @@
 	return b.record(c, index, nowMs)
 }
 
-// find returns a standing or ended order; nil when there is none.
+// find returns the active or ended order with this ID, or nil.
 func (b *Book) find(id string) *daisyhatchv1.Order {
 	if o, ok := b.orders[id]; ok {
 		return o
@@ -86,6 +87,7 @@
 	return nil
 }
 
+// end moves an order to the ended ones, of which the oldest is dropped beyond MaxEnded.
 func (b *Book) end(o *daisyhatchv1.Order, index uint64) {
 	if o.GetEndedIndex() != 0 {
 		return
@@ -99,6 +101,7 @@
 	}
 }
 
+// record adds a new order and ends the one that it replaces.
 func (b *Book) record(c *daisyhatchv1.OrderCommand, index uint64, nowMs int64) (*daisyhatchv1.Order, error) {
 	for _, o := range b.All() {
 		if o.GetServer() == c.GetServer() && o.GetPool() == c.GetPool() && o.GetKind() == c.GetKind() {
@@ -106,7 +109,7 @@
 		}
 	}
 	if len(b.orders) >= MaxOrders {
-		return nil, fmt.Errorf("%w: %d stand", ErrFull, MaxOrders)
+		return nil, fmt.Errorf("%w: %d are active", ErrFull, MaxOrders)
 	}
 	o := &daisyhatchv1.Order{
 		OrderId:        c.GetOrderId(),
@@ -122,11 +125,11 @@
 	return proto.CloneOf(o), nil
 }
 
-// Result records what was read back from one server under an order's fence. A result under another fence is
+// Result records the state that was read back from one server for an order. A result with a different fencing number is
 // ignored. Errors: ErrCommand, ErrUnknown.
 func (b *Book) Result(c *daisyhatchv1.OrderResultCommand, nowMs int64) (*daisyhatchv1.Order, error) {
 	if c.GetServer() == "" || len(c.GetServer()) > MaxField || len(c.GetDetail()) > MaxField {
-		return nil, fmt.Errorf("%w: server must have 1 to %d bytes, detail at most that", ErrCommand, MaxField)
+		return nil, fmt.Errorf("%w: server must have 1 to %d bytes, and detail no more", ErrCommand, MaxField)
 	}
 	o, ok := b.orders[c.GetOrderId()]
 	if !ok {
@@ -150,7 +153,7 @@
 	return proto.CloneOf(o), nil
 }
 
-// All returns the standing orders by ID. The caller must not change them.
+// All returns the active orders, sorted by ID. The caller must not modify them.
 func (b *Book) All() []*daisyhatchv1.Order {
 	out := make([]*daisyhatchv1.Order, 0, len(b.orders))
 	for _, o := range b.orders {
@@ -160,18 +163,18 @@
 	return out
 }
 
-// Snapshot returns the standing orders by ID and then the ended ones. The caller must encode them before the next
-// command.
+// Snapshot returns the active orders, sorted by ID, followed by the ended ones, oldest first. The caller must encode them
+// before the next command, which may modify them.
 func (b *Book) Snapshot() []*daisyhatchv1.Order {
 	return append(b.All(), b.ended...)
 }
 
-// Restore returns the Book of a snapshot. It returns ErrSnapshot when the snapshot contradicts itself.
+// Restore returns a Book with the orders of a snapshot. It returns ErrSnapshot when the snapshot is inconsistent.
 func Restore(orders []*daisyhatchv1.Order) (*Book, error) {
 	b := New()
 	for _, o := range orders {
 		if b.find(o.GetOrderId()) != nil {
-			return nil, fmt.Errorf("%w: order %q twice", ErrSnapshot, o.GetOrderId())
+			return nil, fmt.Errorf("%w: duplicate order %q", ErrSnapshot, o.GetOrderId())
 		}
 		if o.GetEndedIndex() != 0 {
 			b.ended = append(b.ended, o)
@@ -185,18 +188,19 @@
 	return b, nil
 }
 
-func same(o *daisyhatchv1.Order, c *daisyhatchv1.OrderCommand) bool {
+// sameContent reports whether a command has the content of an order.
+func sameContent(o *daisyhatchv1.Order, c *daisyhatchv1.OrderCommand) bool {
 	return o.GetServer() == c.GetServer() && o.GetPool() == c.GetPool() && o.GetKind() == c.GetKind() &&
 		o.GetValue() == c.GetValue() && o.GetOperator() == c.GetOperator()
 }
 
-func check(c *daisyhatchv1.OrderCommand) error {
+func validate(c *daisyhatchv1.OrderCommand) error {
 	if c.GetOrderId() == "" {
 		return fmt.Errorf("%w: no order ID", ErrCommand)
 	}
 	for _, s := range []string{c.GetOrderId(), c.GetOperator(), c.GetServer(), c.GetPool(), c.GetValue()} {
 		if len(s) > MaxField {
-			return fmt.Errorf("%w: a field is above %d bytes", ErrCommand, MaxField)
+			return fmt.Errorf("%w: a field is longer than %d bytes", ErrCommand, MaxField)
 		}
 	}
 	if !c.GetWithdraw() && (c.GetPool() == "" || c.GetKind() == daisyhatchv1.OrderKind_ORDER_KIND_UNSPECIFIED) {
--- a/pkg/order/order_test.go
+++ b/pkg/order/order_test.go
@@ -10,31 +10,31 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-func load(id, value string) *daisyhatchv1.OrderCommand {
+func loadModel(id, value string) *daisyhatchv1.OrderCommand {
 	return &daisyhatchv1.OrderCommand{
 		OrderId: id, Operator: "ada", Pool: "p", Server: "s", Kind: daisyhatchv1.OrderKind_ORDER_KIND_LOAD_MODEL, Value: value,
 	}
 }
 
-func TestOrderIsRecordedOnceAndReplacesOlderIntent(t *testing.T) {
+func TestOrderIsRecordedOnceAndReplacesOlderOrder(t *testing.T) {
 	b := New()
-	first, err := b.Submit(load("1", "m"), 10, 1)
+	first, err := b.Submit(loadModel("1", "m"), 10, 1)
 	require.NoError(t, err)
-	again, err := b.Submit(load("1", "m"), 11, 2)
+	resent, err := b.Submit(loadModel("1", "m"), 11, 2)
 	require.NoError(t, err)
-	require.True(t, proto.Equal(first, again), "a resend gets the first fence")
-	_, err = b.Submit(load("1", "other"), 12, 3)
+	require.True(t, proto.Equal(first, resent), "a resend gets the original fencing number")
+	_, err = b.Submit(loadModel("1", "other"), 12, 3)
 	require.ErrorIs(t, err, ErrReused)
-	newer, err := b.Submit(load("2", "n"), 13, 4)
+	newer, err := b.Submit(loadModel("2", "n"), 13, 4)
 	require.NoError(t, err)
 	require.Greater(t, newer.GetFence(), first.GetFence())
 	require.Len(t, b.All(), 1)
 	b, err = Restore(b.Snapshot())
 	require.NoError(t, err)
-	late, err := b.Submit(load("1", "m"), 14, 5)
+	late, err := b.Submit(loadModel("1", "m"), 14, 5)
 	require.NoError(t, err)
-	require.EqualValues(t, 13, late.GetEndedIndex(), "a late resend tells that the order was replaced")
-	require.Equal(t, "2", b.All()[0].GetOrderId(), "and doesn't bring it back")
+	require.EqualValues(t, 13, late.GetEndedIndex(), "a late resend returns the order as ended")
+	require.Equal(t, "2", b.All()[0].GetOrderId(), "a late resend doesn't activate a replaced order")
 	_, err = b.Submit(&daisyhatchv1.OrderCommand{OrderId: "9", Withdraw: true}, 14, 5)
 	require.ErrorIs(t, err, ErrUnknown)
 	for range 2 {
@@ -43,7 +43,7 @@
 		require.EqualValues(t, 15, withdrawn.GetEndedIndex())
 	}
 	require.Empty(t, b.All())
-	_, err = b.Submit(load("2", "n"), 16, 7)
+	_, err = b.Submit(loadModel("2", "n"), 16, 7)
 	require.NoError(t, err)
 	require.Empty(t, b.All(), "a late resend doesn't undo a withdrawal")
 }
@@ -51,12 +51,12 @@
 func TestEndedOrdersAreBounded(t *testing.T) {
 	b := New()
 	for i := range uint64(MaxEnded + 10) {
-		_, err := b.Submit(load(strconv.FormatUint(i, 10), "m"), i+1, 1)
+		_, err := b.Submit(loadModel(strconv.FormatUint(i, 10), "m"), i+1, 1)
 		require.NoError(t, err)
 	}
 	require.Len(t, b.Snapshot(), MaxEnded+1)
 	for i := range uint64(MaxOrders) {
-		c := load("standing-"+strconv.FormatUint(i, 10), "m")
+		c := loadModel("standing-"+strconv.FormatUint(i, 10), "m")
 		c.Server = c.GetOrderId()
 		_, err := b.Submit(c, 5000+i, 1)
 		if i+1 < MaxOrders {
@@ -72,7 +72,7 @@
 
 func TestResultUnderAnotherFenceIsIgnored(t *testing.T) {
 	b := New()
-	_, err := b.Submit(load("1", "m"), 10, 1)
+	_, err := b.Submit(loadModel("1", "m"), 10, 1)
 	require.NoError(t, err)
 	stale := &daisyhatchv1.OrderResultCommand{OrderId: "1", Server: "s", Fence: 9, InForce: true}
 	o, err := b.Result(stale, 2)
