--- a/pkg/routing/index.go
+++ b/pkg/routing/index.go
@@ -5,75 +5,82 @@
 	"slices"
 )
 
-// Bounds of the index.
+// Size limits of the index.
 const (
-	// defaultBlocks is the most prefix blocks that an Index remembers.
+	// defaultBlocks is the maximum number of prefix blocks in a Picker's Index.
 	defaultBlocks = 1 << 16
-	// refreshPart is the part of the index within which a block counts as touched not long ago.
-	refreshPart = 16
-	// serversPerBlock is the most servers remembered for one block.
+	// recentDivisor sets when a block counts as recently used: when fewer than 1/recentDivisor of the index's capacity in
+	// blocks were sent since its last use.
+	recentDivisor = 16
+	// serversPerBlock is the maximum number of servers recorded for one block.
 	serversPerBlock = 4
-	// maxViews is the most servers whose caches are known.
+	// maxViews is the maximum number of servers whose cache state is tracked.
 	maxViews = 1024
 )
 
-// Index remembers which servers probably hold which prefix blocks in their cache. It learns from calls sent and from
-// the servers' cache events, forgets the least recently used blocks, and distrusts all it knew of a server whose
-// events show a gap. It is not safe for concurrent use.
+// Index records which servers probably hold which prefix blocks in their cache. It learns from the calls sent and from
+// the servers' cache events, evicts the least recently used blocks, and invalidates all entries of a server whose events
+// show a gap. It is not safe for concurrent use.
 type Index struct {
-	most    int
-	blocks  map[uint64]*list.Element
-	recent  *list.List
-	servers map[string]*view
-	// clock counts the blocks sent.
+	// maxBlocks is the maximum number of blocks.
+	maxBlocks int
+	blocks    map[uint64]*list.Element
+	// lru lists the blocks, the most recently used first.
+	lru     *list.List
+	servers map[string]*cacheView
+	// clock counts the blocks sent; it serves as the time for recency.
 	clock uint64
-	// epochs counts the epochs given out.
+	// epochs is the last epoch assigned.
 	epochs uint32
 }
 
-// view is the state of one server's cache as far as known.
-type view struct {
-	// epoch changes when everything known of the server's cache becomes doubtful. No two views ever share one.
+// cacheView is the tracked state of one server's cache.
+type cacheView struct {
+	// epoch changes when all entries of the server become invalid. It is unique among all views of the Index, past ones
+	// included.
 	epoch uint32
-	// touched is the clock when the view was last used.
+	// touched is the Index's clock when the view was last used.
 	touched uint64
-	// incarnation is the process that the events are of; empty before the first.
+	// incarnation identifies the server process that sends the events; empty until Follow sets it.
 	incarnation string
-	// sequence is the last cache event's number; 0 before the first.
+	// sequence is the number of the last cache event; 0 before the first.
 	sequence uint64
 }
 
-// block is one prefix block.
+// block is one prefix block and the servers that hold it.
 type block struct {
 	hash uint64
-	// touched is the clock when the block was last moved to the front.
+	// touched is the Index's clock when the block was last moved to the front of the LRU list.
 	touched uint64
+	// holders lists the servers, the one added first at the front.
 	holders []holder
 }
 
-// holder is a server that holds a block, if its view has not changed epoch since.
+// holder is a server that holds a block. The entry is valid while epoch equals that of the server's view.
 type holder struct {
 	server string
 	epoch  uint32
 }
 
-// NewIndex returns an Index of at most the given count of blocks.
+// NewIndex returns an Index that holds at most the given number of blocks.
 func NewIndex(blocks int) *Index {
 	return &Index{
-		most: blocks, blocks: make(map[uint64]*list.Element), recent: list.New(), servers: make(map[string]*view),
+		maxBlocks: blocks, blocks: make(map[uint64]*list.Element), lru: list.New(), servers: make(map[string]*cacheView),
 	}
 }
 
-// Len returns the count of blocks remembered.
+// Len returns the number of blocks in the index.
 func (x *Index) Len() int { return len(x.blocks) }
 
-func (x *Index) view(name string) *view {
+// view returns the server's view. It adds one if needed, and then evicts the least recently used view when there are
+// maxViews.
+func (x *Index) view(name string) *cacheView {
 	v := x.servers[name]
 	if v == nil {
 		if len(x.servers) >= maxViews {
 			x.dropOldestView()
 		}
-		v = &view{epoch: x.nextEpoch()}
+		v = &cacheView{epoch: x.nextEpoch()}
 		x.servers[name] = v
 	}
 	v.touched = x.clock
@@ -85,7 +92,7 @@
 	return x.epochs
 }
 
-// dropOldestView forgets the server that was used least recently.
+// dropOldestView evicts the least recently used server.
 func (x *Index) dropOldestView() {
 	oldest := ""
 	for name, v := range x.servers {
@@ -97,8 +104,8 @@
 	delete(x.servers, oldest)
 }
 
-// Sent notes that a prompt went to a server, which will cache its prefix. A prefix known to be there and touched not
-// long ago costs one look-up.
+// Sent records that a prompt was sent to a server, which will cache its prefix. If the index already has the prefix for
+// that server and it was used recently, this takes a single look-up.
 func (x *Index) Sent(server string, prefix []uint64) {
 	if len(prefix) == 0 {
 		return
@@ -106,7 +113,7 @@
 	x.clock += uint64(len(prefix))
 	if e := x.blocks[prefix[len(prefix)-1]]; e != nil {
 		b := e.Value.(*block)
-		if x.clock-b.touched < uint64(x.most/refreshPart) && x.holds(server, b.hash) {
+		if x.clock-b.touched < uint64(x.maxBlocks/recentDivisor) && x.holds(server, b.hash) {
 			return
 		}
 	}
@@ -115,16 +122,16 @@
 	}
 }
 
-// Event takes over one cache event: blocks stored and removed. A sequence number that does not follow the last one
-// makes all that was known of the server doubtful; it is then learned anew. Events that are repeated or late are
-// dropped. It returns false when the event showed a gap.
+// Event applies one cache event: the hashes of the blocks stored and removed, and whether the whole cache was cleared. If
+// the sequence number leaves a gap after the last one, all earlier entries of the server become invalid. Repeated and
+// late events are ignored. It returns false when there was a gap.
 func (x *Index) Event(server string, sequence uint64, stored, removed []uint64, cleared bool) bool {
 	v := x.view(server)
 	if sequence <= v.sequence {
 		return true
 	}
-	whole := v.sequence == 0 || sequence == v.sequence+1
-	if cleared || !whole {
+	contiguous := v.sequence == 0 || sequence == v.sequence+1
+	if cleared || !contiguous {
 		v.epoch = x.nextEpoch()
 	}
 	v.sequence = sequence
@@ -134,10 +141,11 @@
 	for _, h := range stored {
 		x.add(server, h)
 	}
-	return whole
+	return contiguous
 }
 
-// Follow notes which incarnation of a server the next events are of. What was known of another one is dropped.
+// Follow sets the incarnation of the server that the next events come from. If it differs from the previous one, the
+// entries of that one are dropped.
 func (x *Index) Follow(server, incarnation string) {
 	v := x.view(server)
 	if v.incarnation != "" && v.incarnation != incarnation {
@@ -146,15 +154,15 @@
 	v.incarnation = incarnation
 }
 
-// Unfollow notes that a server's events are not read for a while. What is known of its cache stays, and the next event
-// shows no gap.
+// Unfollow records that a server's events are not read for now. The entries of the server stay valid, and the next event
+// doesn't count as a gap.
 func (x *Index) Unfollow(server string) {
 	if v := x.servers[server]; v != nil {
 		v.sequence = 0
 	}
 }
 
-// Forget drops all that is known of a server's cache, such as after a restart.
+// Forget invalidates all entries of a server, for example after its restart.
 func (x *Index) Forget(server string) {
 	if v := x.servers[server]; v != nil {
 		v.epoch = x.nextEpoch()
@@ -162,18 +170,20 @@
 	}
 }
 
+// add records that a server holds a block. It evicts the least recently used block of a full index, and the first holder
+// of a block that has serversPerBlock.
 func (x *Index) add(server string, hash uint64) {
 	e := x.blocks[hash]
 	if e == nil {
-		if len(x.blocks) >= x.most {
-			oldest := x.recent.Back()
+		if len(x.blocks) >= x.maxBlocks {
+			oldest := x.lru.Back()
 			delete(x.blocks, oldest.Value.(*block).hash)
-			x.recent.Remove(oldest)
+			x.lru.Remove(oldest)
 		}
-		e = x.recent.PushFront(&block{hash: hash})
+		e = x.lru.PushFront(&block{hash: hash})
 		x.blocks[hash] = e
 	}
-	x.recent.MoveToFront(e)
+	x.lru.MoveToFront(e)
 	b := e.Value.(*block)
 	b.touched = x.clock
 	epoch := x.view(server).epoch
@@ -198,7 +208,7 @@
 	b := e.Value.(*block)
 	b.holders = slices.DeleteFunc(b.holders, func(h holder) bool { return h.server == server })
 	if len(b.holders) == 0 {
-		x.recent.Remove(e)
+		x.lru.Remove(e)
 		delete(x.blocks, hash)
 	}
 }
@@ -211,20 +221,21 @@
 	}
 	for _, h := range e.Value.(*block).holders {
 		if h.server == server {
-			return x.current(h)
+			return x.valid(h)
 		}
 	}
 	return false
 }
 
-func (x *Index) current(h holder) bool {
+// valid reports whether a holder entry is still valid.
+func (x *Index) valid(h holder) bool {
 	v := x.servers[h.server]
 	return v != nil && v.epoch == h.epoch
 }
 
-// share returns which share of the prefix's blocks the server probably has, 0 to 1. A cache holds a block only
-// together with those before it, so the count is found by halving.
-func (x *Index) share(server string, prefix []uint64) float64 {
+// cachedShare returns the fraction of the prefix's blocks that the server probably has, 0 to 1. A cache holds a block only
+// together with those before it, so a binary search finds the count.
+func (x *Index) cachedShare(server string, prefix []uint64) float64 {
 	low, high := 0, len(prefix)
 	for low < high {
 		mid := (low + high + 1) / 2
@@ -237,8 +248,9 @@
 	return float64(low) / float64(max(1, len(prefix)))
 }
 
-// longest returns the servers that probably hold the longest part of the prefix, at most serversPerBlock.
-func (x *Index) longest(prefix []uint64) [serversPerBlock]string {
+// longestHolders returns the servers that probably hold the longest cached part of the prefix, at most serversPerBlock;
+// unused elements are empty.
+func (x *Index) longestHolders(prefix []uint64) [serversPerBlock]string {
 	var out [serversPerBlock]string
 	low, high := 0, len(prefix)
 	for low < high {
@@ -254,7 +266,7 @@
 	}
 	n := 0
 	for _, h := range x.blocks[prefix[low-1]].Value.(*block).holders {
-		if x.current(h) {
+		if x.valid(h) {
 			out[n] = h.server
 			n++
 		}
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-// count picks many times and returns how often each server was taken.
+// count picks 1000 times and returns how often each server was chosen.
 func count(p *Picker, c Call, k []Candidate, now time.Time) map[string]int {
 	rng := rand.New(rand.NewPCG(1, 2))
 	out := make(map[string]int)
@@ -37,20 +37,20 @@
 	require.Equal(t, -1, p.Pick(Call{}, nil, start, rand.New(rand.NewPCG(1, 2))))
 }
 
-func TestReportIsCorrectedByWhatHappenedSince(t *testing.T) {
+func TestReportIsCorrectedByLaterCalls(t *testing.T) {
 	s := &server{reported: 3, reportedAt: start}
-	s.event(+1, start.Add(-time.Millisecond))
-	s.event(+1, start.Add(time.Millisecond))
-	s.event(+1, start.Add(2*time.Millisecond))
-	s.event(-1, start.Add(3*time.Millisecond))
+	s.record(+1, start.Add(-time.Millisecond))
+	s.record(+1, start.Add(time.Millisecond))
+	s.record(+1, start.Add(2*time.Millisecond))
+	s.record(-1, start.Add(3*time.Millisecond))
 	now := start.Add(4 * time.Millisecond)
 	require.InDelta(t, 4, s.outstanding(2, now), 0.01)
-	require.InDelta(t, 3, s.outstanding(2, start.Add(reportLife/2)), 0.01, "others' calls fade with the report's age")
-	require.InDelta(t, 2, s.outstanding(2, start.Add(reportLife)), 0, "own calls always count")
+	require.InDelta(t, 3, s.outstanding(2, start.Add(reportTTL/2)), 0.01, "other VMs' calls are discounted with the report's age")
+	require.InDelta(t, 2, s.outstanding(2, start.Add(reportTTL)), 0, "own calls always count")
 }
 
-// TestLaggingReportsDoNotHerd sends bursts between reports; without the correction all of a burst goes to the server
-// that was idle in the last report.
+// TestLaggingReportsDoNotHerd sends a burst of calls between two load reports. Without the correction for calls started
+// since, the whole burst would go to the server that was idle in the last report.
 func TestLaggingReportsDoNotHerd(t *testing.T) {
 	p, k := NewPicker(), candidates(3)
 	for i := range k {
@@ -90,15 +90,15 @@
 		}
 	}
 	require.Less(t, count(p, Call{FailureDomain: "a"}, k, start)["s3"], 40)
-	later := start.Add(ejectFor)
-	require.Greater(t, count(p, Call{FailureDomain: "a"}, k, later)["s3"], 80, "tried again")
+	later := start.Add(ejectionTime)
+	require.Greater(t, count(p, Call{FailureDomain: "a"}, k, later)["s3"], 80, "a straggler is tried again after ejectionTime")
 	p.End("s3", Latency{Time: 100 * time.Millisecond}, later)
 	p.rank()
-	require.Less(t, count(p, Call{FailureDomain: "a"}, k, later)["s3"], 40, "one slow answer is enough")
-	later = later.Add(ejectFor)
+	require.Less(t, count(p, Call{FailureDomain: "a"}, k, later)["s3"], 40, "one slow call ejects it again")
+	later = later.Add(ejectionTime)
 	p.End("s3", Latency{Time: 10 * time.Millisecond}, later)
 	p.rank()
-	require.Greater(t, count(p, Call{FailureDomain: "a"}, k, later)["s3"], 80, "one fast answer is enough")
+	require.Greater(t, count(p, Call{FailureDomain: "a"}, k, later)["s3"], 80, "one fast call restores it")
 }
 
 func TestShareOfStragglersIsCapped(t *testing.T) {
@@ -114,7 +114,7 @@
 	}
 	slow := 0
 	for _, s := range p.servers {
-		if s.slow > 0 {
+		if s.slowRatio > 0 {
 			slow++
 		}
 	}
@@ -131,27 +131,27 @@
 	idle := count(p, Call{FailureDomain: "a"}, k, start)["s5"]
 	require.Less(t, idle, 100)
 	call.Prefix = []uint64{1, 9, 8, 7}
-	require.Less(t, count(p, call, k, start)["s5"], 150, "a quarter of the prefix is not worth a full server")
+	require.Less(t, count(p, call, k, start)["s5"], 150, "a cached quarter of the prefix doesn't outweigh a full server")
 }
 
-func TestGapMakesTheViewDoubtful(t *testing.T) {
+func TestGapInvalidatesEntries(t *testing.T) {
 	x := NewIndex(100)
 	x.Event("s", 1, []uint64{1, 2}, nil, false)
 	x.Event("s", 2, []uint64{3}, []uint64{2}, false)
-	require.InDelta(t, 1.0, x.share("s", []uint64{1, 3}), 0)
+	require.InDelta(t, 1.0, x.cachedShare("s", []uint64{1, 3}), 0)
 	require.False(t, x.holds("s", 2))
 	x.Event("s", 2, []uint64{7}, nil, false)
-	require.False(t, x.holds("s", 7), "a repeated event is dropped")
+	require.False(t, x.holds("s", 7), "a repeated event is ignored")
 	x.Event("s", 5, []uint64{9}, nil, false)
 	require.False(t, x.holds("s", 1), "events 3 and 4 may have removed it")
 	require.True(t, x.holds("s", 9))
 	x.Sent("s", []uint64{1})
-	require.True(t, x.holds("s", 1), "learned anew")
+	require.True(t, x.holds("s", 1), "the entry is valid again after a call")
 	x.Event("s", 6, nil, nil, true)
 	require.False(t, x.holds("s", 1))
 	x.Forget("s")
 	x.Event("s", 1, []uint64{4}, nil, false)
-	require.True(t, x.holds("s", 4), "a restarted server counts from 1 again")
+	require.True(t, x.holds("s", 4), "a restarted server's events start from 1")
 }
 
 func TestIndexIsBounded(t *testing.T) {
@@ -161,12 +161,12 @@
 		x.Sent(fmt.Sprint(i%5), []uint64{5000})
 	}
 	require.Equal(t, 100, x.Len())
-	require.True(t, x.blocks[5000] != nil, "a block in use stays")
+	require.True(t, x.blocks[5000] != nil, "a recently used block isn't evicted")
 	require.LessOrEqual(t, len(x.blocks[5000].Value.(*block).holders), serversPerBlock)
 }
 
-// TestStragglerIsSeenThroughHedges has every call to the straggler end because another one won.
-func TestStragglerIsSeenThroughHedges(t *testing.T) {
+// TestHedgedCallsRevealStraggler ends every call to the straggler without a first byte, as when the hedged call wins.
+func TestHedgedCallsRevealStraggler(t *testing.T) {
 	p, k := NewPicker(), candidates(8)
 	for range 40 {
 		for i := range k {
@@ -180,15 +180,15 @@
 	}
 	p.Retain(func(name string) bool { return name != "s7" })
 	require.Len(t, p.servers, 7)
-	require.Greater(t, p.servers["s3"].slow, slowRatio)
-	require.Zero(t, p.servers["s2"].slow)
+	require.Greater(t, p.servers["s3"].slowRatio, stragglerRatio)
+	require.Zero(t, p.servers["s2"].slowRatio)
 	for range 10 {
 		p.End("s2", Latency{Time: time.Millisecond, AtLeast: true}, start)
 	}
-	require.Greater(t, p.servers["s2"].latency, 9*time.Millisecond, "a caller that gave up early says nothing")
+	require.Greater(t, p.servers["s2"].latency, 9*time.Millisecond, "a call abandoned early doesn't lower the average")
 }
 
-func TestRestartedServerIsLearnedAnew(t *testing.T) {
+func TestRestartInvalidatesEntries(t *testing.T) {
 	x := NewIndex(100)
 	x.Follow("s", "1")
 	require.True(t, x.Event("s", 900, []uint64{1}, nil, false))
@@ -196,13 +196,13 @@
 	require.True(t, x.holds("s", 1))
 	x.Follow("s", "2")
 	require.False(t, x.holds("s", 1))
-	require.True(t, x.Event("s", 1, []uint64{2}, nil, false), "its numbers begin anew")
+	require.True(t, x.Event("s", 1, []uint64{2}, nil, false), "sequence numbers of a new incarnation start from 1")
 	require.True(t, x.holds("s", 2))
-	require.False(t, x.Event("s", 3, nil, nil, false), "a gap")
+	require.False(t, x.Event("s", 3, nil, nil, false), "event 2 is missing")
 	require.False(t, x.holds("s", 2))
 }
 
-func TestUnfollowedServerKeepsWhatWasSent(t *testing.T) {
+func TestUnfollowedServerKeepsItsEntries(t *testing.T) {
 	x := NewIndex(100)
 	x.Event("s", 5, []uint64{1}, nil, false)
 	x.Unfollow("s")
@@ -213,9 +213,9 @@
 	}
 }
 
-// TestKnownServersAreBounded meets more servers than are remembered; one that comes back must not get back what was
-// known of it.
-func TestKnownServersAreBounded(t *testing.T) {
+// TestTrackedServersAreBounded tracks more servers than maxViews. A server that was evicted and is added again must not get
+// its old entries back.
+func TestTrackedServersAreBounded(t *testing.T) {
 	x := NewIndex(10 * maxViews)
 	for i := range uint64(3 * maxViews) {
 		x.Event(fmt.Sprint("s", i), 1, []uint64{i}, nil, false)
