--- a/internal/capacity/probes_request.go
+++ b/internal/capacity/probes_request.go
@@ -32,7 +32,7 @@
 func (k *keeper) Draw(_ context.Context, r *connect.Request[daisyhatchv1.DrawRequest]) (*connect.Response[daisyhatchv1.DrawResponse], error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	keep := func(string) admission.Keeping { return admission.Keeping{Limits: organisationLimits, Fence: 1} }
+	keep := func(string) admission.Authority { return admission.Authority{Limits: organisationLimits, Fence: 1} }
 	return connect.NewResponse(k.allotter.Draw(r.Msg, keep, k.now)), nil
 }
 
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -16,7 +16,7 @@
 	*testing.T
 	now       time.Time
 	rng       *rand.Rand
-	authority Keeping
+	authority Authority
 	allotter  *Allotter
 	entries   []*Controller
 	// waiting counts the waiting requests by entry VM.
@@ -40,7 +40,7 @@
 
 func newCluster(t *testing.T, n int, l Limits) *cluster {
 	f := &cluster{
-		T: t, now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2)), authority: Keeping{Limits: l, Fence: 1}, allotter: NewAllotter(),
+		T: t, now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2)), authority: Authority{Limits: l, Fence: 1}, allotter: NewAllotter(),
 	}
 	for i := range n {
 		f.entries = append(f.entries, NewController(fmt.Sprint("e", i), "1"))
@@ -124,7 +124,7 @@
 	if r == nil || f.rng.Float64() < f.lossRate {
 		return
 	}
-	out := f.allotter.Draw(r, func(string) Keeping { return f.authority }, f.now)
+	out := f.allotter.Draw(r, func(string) Authority { return f.authority }, f.now)
 	if f.rng.Float64() >= f.lossRate {
 		c.Apply("grantor", out, f.now)
 	}
@@ -215,7 +215,7 @@
 		c.Waiting(fmt.Sprint(i), 1)
 	}
 	r := c.Draw("k", func(string) bool { return true }, true, now)
-	c.Apply("k", a.Draw(r, func(string) Keeping { return Keeping{Limits: l, Fence: 1} }, now), now)
+	c.Apply("k", a.Draw(r, func(string) Authority { return Authority{Limits: l, Fence: 1} }, now), now)
 	require.Equal(t, 21_000, a.Len())
 	for i := range 21_000 {
 		v, _ := c.Again(fmt.Sprint(i), now)
@@ -240,7 +240,7 @@
 
 func TestOlderDrawIsIgnored(t *testing.T) {
 	a := NewAllotter()
-	keep := func(string) Keeping { return Keeping{Limits: Limits{Rate: 1, Burst: 10}, Fence: 1} }
+	keep := func(string) Authority { return Authority{Limits: Limits{Rate: 1, Burst: 10}, Fence: 1} }
 	r := &daisyhatchv1.DrawRequest{Vm: "e", Sequence: 2, Demands: []*daisyhatchv1.QuotaDemand{{Organisation: "o", Tokens: 5}}}
 	require.NotNil(t, a.Draw(r, keep, time.Unix(1000, 0)))
 	require.Nil(t, a.Draw(r, keep, time.Unix(1000, 0)))
@@ -302,15 +302,15 @@
 }
 
 // drawOne draws for the organisation "o" and returns the quota.
-func drawOne(a *Allotter, vm string, k Keeping, d *daisyhatchv1.QuotaDemand, now time.Time) *daisyhatchv1.Quota {
+func drawOne(a *Allotter, vm string, k Authority, d *daisyhatchv1.QuotaDemand, now time.Time) *daisyhatchv1.Quota {
 	d.Organisation = "o"
 	r := &daisyhatchv1.DrawRequest{Vm: vm, Sequence: uint64(now.UnixNano()), Demands: []*daisyhatchv1.QuotaDemand{d}}
-	return a.Draw(r, func(string) Keeping { return k }, now).Quotas[0]
+	return a.Draw(r, func(string) Authority { return k }, now).Quotas[0]
 }
 
 func TestUnitsHeldAreChargedUntilGivenBack(t *testing.T) {
 	a, now := NewAllotter(), time.Unix(1000, 0)
-	k := Keeping{Limits: Limits{Concurrency: 5}, Fence: 1}
+	k := Authority{Limits: Limits{Concurrency: 5}, Fence: 1}
 	require.EqualValues(t, 5, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Want: 5}, now).Units)
 	now = now.Add(time.Second)
 	require.Zero(t, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Units: 5}, now).Units)
@@ -322,7 +322,7 @@
 
 func TestBucketIsCappedAtBurstAndStartsEmptyAtANewGrantor(t *testing.T) {
 	a, now := NewAllotter(), time.Unix(1000, 0)
-	k := Keeping{Limits: Limits{Rate: 10, Burst: 20}, Fence: 1}
+	k := Authority{Limits: Limits{Rate: 10, Burst: 20}, Fence: 1}
 	drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now)
 	now = now.Add(time.Minute)
 	require.EqualValues(t, 20, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 100}, now).Tokens)
@@ -357,7 +357,7 @@
 	c, a, now := NewController("e", "1"), NewAllotter(), time.Unix(1000, 0)
 	l := Limits{Rate: 10, Burst: 20}
 	owns := func(string) bool { return true }
-	keep := func(string) Keeping { return Keeping{Limits: l, Fence: 1} }
+	keep := func(string) Authority { return Authority{Limits: l, Fence: 1} }
 	for _, name := range []string{"x", "y"} {
 		v, _ := c.Arrive(name, l, now)
 		require.Equal(t, Wait, v)
@@ -396,7 +396,7 @@
 
 func TestBucketIsKeptUntilFull(t *testing.T) {
 	a, now := NewAllotter(), time.Unix(1000, 0)
-	k := Keeping{Limits: Limits{Rate: 0.02, Burst: 1}, Fence: 1}
+	k := Authority{Limits: Limits{Rate: 0.02, Burst: 1}, Fence: 1}
 	require.EqualValues(t, 1, drawOne(a, "x", k, &daisyhatchv1.QuotaDemand{Tokens: 1}, now).Tokens)
 	for range 49 {
 		now = now.Add(time.Second)
--- a/pkg/admission/allotter.go
+++ b/pkg/admission/allotter.go
@@ -62,8 +62,8 @@
 // Len returns the number of organisations that take memory.
 func (a *Allotter) Len() int { return len(a.organisations) }
 
-// Keeping is the grantor's authority over the limits of one organisation.
-type Keeping struct {
+// Authority says whether and how this VM grants the limits of one organisation.
+type Authority struct {
 	Limits Limits
 	// Fence is the fencing number of the organisation's shard; 0 when another VM is its grantor. State from a different
 	// fencing number is discarded.
@@ -75,7 +75,7 @@
 
 // Draw answers a draw request of an entry VM. keeping returns the authority over an organisation; those without a fence
 // are left out of the response. It returns nil for a request that is not newer than the holder's last one.
-func (a *Allotter) Draw(r *daisyhatchv1.DrawRequest, authorityOf func(organisation string) Keeping, now time.Time) *daisyhatchv1.DrawResponse {
+func (a *Allotter) Draw(r *daisyhatchv1.DrawRequest, authorityOf func(organisation string) Authority, now time.Time) *daisyhatchv1.DrawResponse {
 	key := holderKey{r.Vm, r.Incarnation}
 	if r.Sequence <= a.lastDraws[key].sequence {
 		return nil
@@ -91,7 +91,7 @@
 }
 
 // draw answers the demand for one organisation.
-func (a *Allotter) draw(key holderKey, d *daisyhatchv1.QuotaDemand, k Keeping, now time.Time) *daisyhatchv1.Quota {
+func (a *Allotter) draw(key holderKey, d *daisyhatchv1.QuotaDemand, k Authority, now time.Time) *daisyhatchv1.Quota {
 	l := k.Limits
 	o := a.organisations[d.Organisation]
 	if o == nil || o.fence != k.Fence {
@@ -143,7 +143,7 @@
 
 // lend returns how many requests the holder may have in flight: its max-min fair share, less what other holders still
 // have or could have.
-func (o *account) lend(key holderKey, d *daisyhatchv1.QuotaDemand, k Keeping, now time.Time) int {
+func (o *account) lend(key holderKey, d *daisyhatchv1.QuotaDemand, k Authority, now time.Time) int {
 	limit := k.Limits.Concurrency
 	i := slices.IndexFunc(o.holders, func(h loan) bool { return h.holder == key })
 	if i < 0 {
--- a/pkg/grantservice/quota.go
+++ b/pkg/grantservice/quota.go
@@ -18,14 +18,14 @@
 	s.configure()
 	_, set := s.opts.Config()
 	now := time.Now()
-	out := s.allotter.Draw(r.Msg, func(organisation string) admission.Keeping {
+	out := s.allotter.Draw(r.Msg, func(organisation string) admission.Authority {
 		shard := grant.ShardOf(organisation)
 		if set == nil || set.Organisations[organisation] == nil || !s.grantor.Holds(shard, now) {
-			return admission.Keeping{}
+			return admission.Authority{}
 		}
 		o := set.Organisations[organisation]
 		fence, learning := s.grantor.Tenure(shard, now)
-		return admission.Keeping{
+		return admission.Authority{
 			Limits:   admission.Limits{Rate: o.Rate, Burst: o.Burst, Concurrency: o.Concurrency},
 			Fence:    fence,
 			Learning: learning,
