--- a/internal/capacity/probes_request.go
+++ b/internal/capacity/probes_request.go
@@ -66,7 +66,7 @@
 		c.Apply("keeper", out.Msg, now)
 		for i := range n {
 			name := fmt.Sprintf("organisation-%05d", i)
-			if v, _ := c.Again(name, now); v == admission.Admit {
+			if v, _ := c.Recheck(name, now); v == admission.Admit {
 				c.Leave(name, now)
 			}
 		}
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -105,7 +105,7 @@
 
 func (f *cluster) serve(i int, length time.Duration) {
 	for f.waiting[i] > 0 {
-		v, _ := f.entries[i].Again("o", f.now)
+		v, _ := f.entries[i].Recheck("o", f.now)
 		if v == Wait {
 			break
 		}
@@ -218,7 +218,7 @@
 	c.Apply("k", a.Draw(r, func(string) Authority { return Authority{Limits: l, Fence: 1} }, now), now)
 	require.Equal(t, 21_000, a.Len())
 	for i := range 21_000 {
-		v, _ := c.Again(fmt.Sprint(i), now)
+		v, _ := c.Recheck(fmt.Sprint(i), now)
 		require.Equal(t, Admit, v)
 		c.Waiting(fmt.Sprint(i), 0)
 		c.Leave(fmt.Sprint(i), now)
@@ -344,12 +344,12 @@
 	first := c.Draw("k", owns, true, now)
 	second := c.Draw("k", owns, true, now)
 	c.Apply("k", answer(first), now)
-	v, _ := c.Again("o", now)
+	v, _ := c.Recheck("o", now)
 	require.Equal(t, Wait, v, "a response to an earlier request is ignored")
 	c.Apply("k", answer(second), now.Add(unitsTTL-time.Millisecond))
-	v, _ = c.Again("o", now.Add(unitsTTL-time.Millisecond))
+	v, _ = c.Recheck("o", now.Add(unitsTTL-time.Millisecond))
 	require.Equal(t, Admit, v)
-	v, _ = c.Again("o", now.Add(unitsTTL))
+	v, _ = c.Recheck("o", now.Add(unitsTTL))
 	require.Equal(t, Wait, v, "the lifetime of units starts with the request")
 }
 
@@ -366,7 +366,7 @@
 	r := c.Draw("k", owns, false, now)
 	require.Len(t, r.Demands, 1, "only x has a waiting request")
 	c.Apply("k", a.Draw(r, keep, now), now)
-	v, _ := c.Again("x", now)
+	v, _ := c.Recheck("x", now)
 	require.Equal(t, Admit, v)
 	c.Waiting("x", 0)
 	for range 8 {
@@ -388,7 +388,7 @@
 		now = now.Add(drawInterval)
 		require.NotNil(t, c.Draw("k", func(string) bool { return true }, true, now))
 	}
-	v, _ := c.Again("x", now)
+	v, _ := c.Recheck("x", now)
 	require.Equal(t, Admit, v)
 	c.Waiting("x", 0)
 	require.NotNil(t, c.Draw("k", func(string) bool { return true }, true, now.Add(drawInterval)))
--- a/pkg/admission/controller.go
+++ b/pkg/admission/controller.go
@@ -96,8 +96,8 @@
 	return q.decide(now)
 }
 
-// Again repeats the decision on a waiting request.
-func (c *Controller) Again(organisation string, now time.Time) (v Verdict, retry time.Duration) {
+// Recheck repeats the decision on a waiting request.
+func (c *Controller) Recheck(organisation string, now time.Time) (v Verdict, retry time.Duration) {
 	q := c.organisations[organisation]
 	if q == nil {
 		return Refuse, drawInterval
--- a/pkg/admission/gate.go
+++ b/pkg/admission/gate.go
@@ -218,7 +218,7 @@
 // releaseWaiting admits or refuses an organisation's waiting requests in order, until one has to keep waiting.
 func (g *Gate) releaseWaiting(organisation string, now time.Time) {
 	for it := g.queue.Head(organisation); it != nil; it = g.queue.Head(organisation) {
-		v, retry := g.controller.Again(organisation, now)
+		v, retry := g.controller.Recheck(organisation, now)
 		if v == Wait {
 			break
 		}
