--- a/internal/capacity/probes_request.go
+++ b/internal/capacity/probes_request.go
@@ -56,7 +56,7 @@
 		for i := range n {
 			name := fmt.Sprintf("organisation-%05d", i)
 			c.Arrive(name, organisationLimits, now)
-			c.Waiting(name, 1)
+			c.SetWaiting(name, 1)
 		}
 		r := c.Draw("keeper", func(string) bool { return true }, false, now)
 		out, err := client.Draw(context.Background(), connect.NewRequest(r))
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -78,7 +78,7 @@
 	case Refuse:
 		f.refused++
 	}
-	f.entries[i].Waiting("o", f.waiting[i])
+	f.entries[i].SetWaiting("o", f.waiting[i])
 }
 
 func (f *cluster) start(i int, length time.Duration) {
@@ -116,7 +116,7 @@
 			f.refused++
 		}
 	}
-	f.entries[i].Waiting("o", f.waiting[i])
+	f.entries[i].SetWaiting("o", f.waiting[i])
 }
 
 func (f *cluster) draw(i int, c *Controller, regular bool, length time.Duration) {
@@ -212,7 +212,7 @@
 	l := Limits{Rate: 10, Concurrency: 2}
 	for i := range 21_000 {
 		c.Arrive(fmt.Sprint(i), l, now)
-		c.Waiting(fmt.Sprint(i), 1)
+		c.SetWaiting(fmt.Sprint(i), 1)
 	}
 	r := c.Draw("k", func(string) bool { return true }, true, now)
 	c.Apply("k", a.Draw(r, func(string) Authority { return Authority{Limits: l, Fence: 1} }, now), now)
@@ -220,7 +220,7 @@
 	for i := range 21_000 {
 		v, _ := c.Recheck(fmt.Sprint(i), now)
 		require.Equal(t, Admit, v)
-		c.Waiting(fmt.Sprint(i), 0)
+		c.SetWaiting(fmt.Sprint(i), 0)
 		c.Leave(fmt.Sprint(i), now)
 	}
 	now = now.Add(2 * silentHolderTTL)
@@ -362,13 +362,13 @@
 		v, _ := c.Arrive(name, l, now)
 		require.Equal(t, Wait, v)
 	}
-	c.Waiting("x", 1)
+	c.SetWaiting("x", 1)
 	r := c.Draw("k", owns, false, now)
 	require.Len(t, r.Demands, 1, "only x has a waiting request")
 	c.Apply("k", a.Draw(r, keep, now), now)
 	v, _ := c.Recheck("x", now)
 	require.Equal(t, Admit, v)
-	c.Waiting("x", 0)
+	c.SetWaiting("x", 0)
 	for range 8 {
 		now = now.Add(drawInterval)
 		require.Nil(t, c.Draw("k", owns, true, now), "x has enough tokens")
@@ -383,14 +383,14 @@
 	c, now := NewController("e", "1"), time.Unix(1000, 0)
 	l := Limits{Rate: 10, Burst: 20}
 	c.Arrive("x", l, now)
-	c.Waiting("x", 1)
+	c.SetWaiting("x", 1)
 	for range 6 {
 		now = now.Add(drawInterval)
 		require.NotNil(t, c.Draw("k", func(string) bool { return true }, true, now))
 	}
 	v, _ := c.Recheck("x", now)
 	require.Equal(t, Admit, v)
-	c.Waiting("x", 0)
+	c.SetWaiting("x", 0)
 	require.NotNil(t, c.Draw("k", func(string) bool { return true }, true, now.Add(drawInterval)))
 }
 
--- a/pkg/admission/controller.go
+++ b/pkg/admission/controller.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// Waiting sets the number of requests that wait for an organisation's limits.
-func (c *Controller) Waiting(organisation string, n int) {
+// SetWaiting sets the number of requests that wait for an organisation's limits.
+func (c *Controller) SetWaiting(organisation string, n int) {
 	if q := c.organisations[organisation]; q != nil {
 		q.waiting = n
 	}
--- a/pkg/admission/gate.go
+++ b/pkg/admission/gate.go
@@ -122,7 +122,7 @@
 	}
 	w := &waiter{ready: make(chan struct{})}
 	it := g.queue.Push(r.Organisation, 1, r.Priority, w)
-	g.controller.Waiting(r.Organisation, waiting+1)
+	g.controller.SetWaiting(r.Organisation, waiting+1)
 	g.mu.Unlock()
 	g.requestDraw()
 	return g.wait(ctx, r, it)
@@ -190,7 +190,7 @@
 		return
 	}
 	g.queue.Remove(it)
-	g.controller.Waiting(r.Organisation, g.queue.LenOf(r.Organisation))
+	g.controller.SetWaiting(r.Organisation, g.queue.LenOf(r.Organisation))
 	it.Value.end(rateLimited(r.Organisation, time.Second))
 }
 
@@ -229,5 +229,5 @@
 			it.Value.end(nil)
 		}
 	}
-	g.controller.Waiting(organisation, g.queue.LenOf(organisation))
+	g.controller.SetWaiting(organisation, g.queue.LenOf(organisation))
 }
