--- a/pkg/deadline/deadline.go
+++ b/pkg/deadline/deadline.go
@@ -26,9 +26,9 @@
 type Share struct {
 	// Target is when the step should be done so that the later steps nearly always get the time that they need.
 	Target time.Time
-	// Cut is when the step is to be abandoned, since after it the minimum durations of the later steps no longer fit
+	// Cutoff is when the step is to be abandoned, since after it the minimum durations of the later steps no longer fit
 	// before the deadline.
-	Cut time.Time
+	Cutoff time.Time
 }
 
 // Of returns the share of a step that starts at now and is followed by the later steps. The time until the deadline is
@@ -43,15 +43,15 @@
 	cut := deadline.Add(-minimums)
 	left := deadline.Sub(now)
 	if left <= 0 || len(later) == 0 {
-		return Share{Target: cut, Cut: cut}
+		return Share{Target: cut, Cutoff: cut}
 	}
 	total += own.likely()
 	if total <= 0 {
 		each := left / time.Duration(len(later)+1)
-		return Share{Target: earlier(now.Add(each), cut), Cut: cut}
+		return Share{Target: earlier(now.Add(each), cut), Cutoff: cut}
 	}
 	part := float64(own.likely()) / float64(total)
-	return Share{Target: earlier(now.Add(time.Duration(float64(left)*part)), cut), Cut: cut}
+	return Share{Target: earlier(now.Add(time.Duration(float64(left)*part)), cut), Cutoff: cut}
 }
 
 // Meetable reports whether the steps, run one after the other from now, are likely to finish by the deadline.
--- a/pkg/deadline/deadline_test.go
+++ b/pkg/deadline/deadline_test.go
@@ -41,8 +41,8 @@
 		for _, n := range later {
 			minimums += n.Minimum
 		}
-		require.Equal(t, end.Add(-minimums), s.Cut)
-		require.False(t, s.Target.After(s.Cut))
+		require.Equal(t, end.Add(-minimums), s.Cutoff)
+		require.False(t, s.Target.After(s.Cutoff))
 		if len(later) == 0 {
 			require.Equal(t, end, s.Target)
 		}
--- a/pkg/executor/machine.go
+++ b/pkg/executor/machine.go
@@ -302,7 +302,7 @@
 	for _, i := range m.plan.Steps[m.step] {
 		s := &m.stages[i]
 		s.began = now
-		s.cut = share.Cut
+		s.cut = share.Cutoff
 		s.target = share.Target
 		m.advice.first(now)
 		m.attempt(now, i, false)
