--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -49,6 +49,7 @@
 	return f
 }
 
+// clusterTick is the step of the simulated clock.
 const clusterTick = 10 * time.Millisecond
 
 // run simulates d, in which rate requests per second arrive at the entry VMs chosen by pick, and each runs for length.
@@ -87,6 +88,7 @@
 	f.ends = append(f.ends, end{f.now.Add(length), i})
 }
 
+// leave ends the requests that are due and rechecks the waiting ones.
 func (f *cluster) leave(length time.Duration) {
 	kept := f.ends[:0]
 	for _, e := range f.ends {
@@ -103,6 +105,7 @@
 	}
 }
 
+// serve admits or refuses the waiting requests of entry VM i, as far as its Controller decides on them.
 func (f *cluster) serve(i int, length time.Duration) {
 	for f.waiting[i] > 0 {
 		v, _ := f.entries[i].Recheck("o", f.now)
@@ -119,6 +122,7 @@
 	f.entries[i].SetWaiting("o", f.waiting[i])
 }
 
+// draw sends one draw from entry VM i; the request or the response may be lost.
 func (f *cluster) draw(i int, c *Controller, regular bool, length time.Duration) {
 	r := c.Draw("grantor", func(string) bool { return true }, regular, f.now)
 	if r == nil || f.rng.Float64() < f.lossRate {
@@ -240,10 +244,10 @@
 
 func TestOlderDrawIsIgnored(t *testing.T) {
 	a := NewAllotter()
-	keep := func(string) Authority { return Authority{Limits: Limits{Rate: 1, Burst: 10}, Fence: 1} }
+	authorityOf := func(string) Authority { return Authority{Limits: Limits{Rate: 1, Burst: 10}, Fence: 1} }
 	r := &daisyhatchv1.DrawRequest{Vm: "e", Sequence: 2, Demands: []*daisyhatchv1.QuotaDemand{{Organisation: "o", Tokens: 5}}}
-	require.NotNil(t, a.Draw(r, keep, time.Unix(1000, 0)))
-	require.Nil(t, a.Draw(r, keep, time.Unix(1000, 0)))
+	require.NotNil(t, a.Draw(r, authorityOf, time.Unix(1000, 0)))
+	require.Nil(t, a.Draw(r, authorityOf, time.Unix(1000, 0)))
 }
 
 func TestQueueIsFairByWeight(t *testing.T) {
@@ -291,9 +295,9 @@
 	for i, p := range []int{1, 5, 3, 5} {
 		q.Push("a", 1, p, i)
 	}
-	gone := q.Push("a", 1, 9, 99)
-	q.Remove(gone)
-	q.Remove(gone)
+	removed := q.Push("a", 1, 9, 99)
+	q.Remove(removed)
+	q.Remove(removed)
 	var order []int
 	for it := q.Pop(); it != nil; it = q.Pop() {
 		order = append(order, it.Value)
@@ -335,18 +339,18 @@
 func TestUnitsExpireAndStaleResponsesAreDropped(t *testing.T) {
 	c, now := NewController("e", "1"), time.Unix(1000, 0)
 	l := Limits{Concurrency: 5}
-	owns := func(string) bool { return true }
-	answer := func(r *daisyhatchv1.DrawRequest) *daisyhatchv1.DrawResponse {
+	isGrantor := func(string) bool { return true }
+	respond := func(r *daisyhatchv1.DrawRequest) *daisyhatchv1.DrawResponse {
 		q := &daisyhatchv1.Quota{Organisation: "o", Units: 2, TtlMs: unitsTTL.Milliseconds()}
 		return &daisyhatchv1.DrawResponse{Sequence: r.Sequence, Quotas: []*daisyhatchv1.Quota{q}}
 	}
 	c.Arrive("o", l, now)
-	first := c.Draw("k", owns, true, now)
-	second := c.Draw("k", owns, true, now)
-	c.Apply("k", answer(first), now)
+	first := c.Draw("k", isGrantor, true, now)
+	second := c.Draw("k", isGrantor, true, now)
+	c.Apply("k", respond(first), now)
 	v, _ := c.Recheck("o", now)
 	require.Equal(t, Wait, v, "a response to an earlier request is ignored")
-	c.Apply("k", answer(second), now.Add(unitsTTL-time.Millisecond))
+	c.Apply("k", respond(second), now.Add(unitsTTL-time.Millisecond))
 	v, _ = c.Recheck("o", now.Add(unitsTTL-time.Millisecond))
 	require.Equal(t, Admit, v)
 	v, _ = c.Recheck("o", now.Add(unitsTTL))
@@ -356,22 +360,22 @@
 func TestOrganisationsDrawOnlyWhenTheyNeedSomething(t *testing.T) {
 	c, a, now := NewController("e", "1"), NewAllotter(), time.Unix(1000, 0)
 	l := Limits{Rate: 10, Burst: 20}
-	owns := func(string) bool { return true }
-	keep := func(string) Authority { return Authority{Limits: l, Fence: 1} }
+	isGrantor := func(string) bool { return true }
+	authorityOf := func(string) Authority { return Authority{Limits: l, Fence: 1} }
 	for _, name := range []string{"x", "y"} {
 		v, _ := c.Arrive(name, l, now)
 		require.Equal(t, Wait, v)
 	}
 	c.SetWaiting("x", 1)
-	r := c.Draw("k", owns, false, now)
+	r := c.Draw("k", isGrantor, false, now)
 	require.Len(t, r.Demands, 1, "only x has a waiting request")
-	c.Apply("k", a.Draw(r, keep, now), now)
+	c.Apply("k", a.Draw(r, authorityOf, now), now)
 	v, _ := c.Recheck("x", now)
 	require.Equal(t, Admit, v)
 	c.SetWaiting("x", 0)
 	for range 8 {
 		now = now.Add(drawInterval)
-		require.Nil(t, c.Draw("k", owns, true, now), "x has enough tokens")
+		require.Nil(t, c.Draw("k", isGrantor, true, now), "x has enough tokens")
 	}
 	v, _ = c.Arrive("x", l, now)
 	require.Equal(t, Wait, v, "the time without a draw doesn't count as an outage")
--- a/pkg/admission/allotter.go
+++ b/pkg/admission/allotter.go
@@ -73,7 +73,7 @@
 	Learning bool
 }
 
-// Draw answers a draw request of an entry VM. keeping returns the authority over an organisation; those without a fence
+// Draw answers a draw request of an entry VM. authorityOf returns the authority over an organisation; those without a fence
 // are left out of the response. It returns nil for a request that is not newer than the holder's last one.
 func (a *Allotter) Draw(r *daisyhatchv1.DrawRequest, authorityOf func(organisation string) Authority, now time.Time) *daisyhatchv1.DrawResponse {
 	key := holderKey{r.Vm, r.Incarnation}
@@ -129,8 +129,8 @@
 	if reported := time.Duration(d.UnservedMs) * time.Millisecond; reported > 0 && (o.unserved == 0 || reported < o.unserved) {
 		o.unserved = reported
 	}
-	most := l.Rate * min(o.unserved, maxUnserved).Seconds()
-	n := max(0, min(float64(d.Tokens)-o.tokens, most-o.compensated))
+	maxTokens := l.Rate * min(o.unserved, maxUnserved).Seconds()
+	n := max(0, min(float64(d.Tokens)-o.tokens, maxTokens-o.compensated))
 	o.compensated += n
 	o.tokens += n
 }
@@ -141,8 +141,8 @@
 	o.refilledAt = now
 }
 
-// lend returns how many requests the holder may have in flight: its max-min fair share, less what other holders still
-// have or could have.
+// lend returns how many requests the holder may have in flight: its max-min fair share, but no more than the units that
+// no other holder has or may still have.
 func (o *account) lend(key holderKey, d *daisyhatchv1.QuotaDemand, k Authority, now time.Time) int {
 	limit := k.Limits.Concurrency
 	i := slices.IndexFunc(o.holders, func(h loan) bool { return h.holder == key })
--- a/pkg/admission/controller.go
+++ b/pkg/admission/controller.go
@@ -184,7 +184,7 @@
 }
 
 // needsNoDraw reports whether an organisation needs nothing from its grantor. While the grantor is silent for longer than
-// outageThreshold, the organisation keeps drawing, to find out when it is back.
+// outageThreshold, the organisation keeps drawing until the grantor responds.
 func (q *quota) needsNoDraw(d *daisyhatchv1.QuotaDemand, now time.Time) bool {
 	idle := q.limits.Concurrency == 0 && q.waiting == 0 && d.Tokens == 0 && d.Returned == 0
 	return idle && now.Sub(q.lastHealthy) < outageThreshold
@@ -217,6 +217,7 @@
 	return d
 }
 
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
--- a/pkg/admission/gate.go
+++ b/pkg/admission/gate.go
@@ -143,12 +143,12 @@
 	if g.opts.Forecast == nil {
 		return nil
 	}
-	takes := g.opts.Forecast(r.Pipeline, r.Organisation)
-	if float64(takes) <= forecastShare*float64(left) {
+	expected := g.opts.Forecast(r.Pipeline, r.Organisation)
+	if float64(expected) <= forecastShare*float64(left) {
 		return nil
 	}
 	return apierr.New(http.StatusServiceUnavailable, apierr.Overloaded, "%s is expected to take longer than the deadline allows", r.Pipeline).
-		After(clampRetryAfter(takes - left))
+		After(clampRetryAfter(expected - left))
 }
 
 func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
--- a/pkg/deadline/deadline.go
+++ b/pkg/deadline/deadline.go
@@ -33,7 +33,7 @@
 
 // Of returns the share of a step that starts at now and is followed by the later steps. The time until the deadline is
 // divided in proportion to the steps' needs, whether it is more or less than their sum, and equally while no need is known.
-// The last step gets all of it. Target is never after Cut.
+// The last step gets all of it. Target is never after Cutoff.
 func Of(now, deadline time.Time, own Need, later []Need) Share {
 	var minimums, total time.Duration
 	for _, n := range later {
--- a/pkg/order/order_test.go
+++ b/pkg/order/order_test.go
@@ -74,13 +74,13 @@
 	b := New()
 	_, err := b.Submit(loadModel("1", "m"), 10, 1)
 	require.NoError(t, err)
-	stale := &daisyhatchv1.OrderResultCommand{OrderId: "1", Server: "s", Fence: 9, InForce: true}
-	o, err := b.Result(stale, 2)
+	result := &daisyhatchv1.OrderResultCommand{OrderId: "1", Server: "s", Fence: 9, InForce: true}
+	o, err := b.Result(result, 2)
 	require.NoError(t, err)
 	require.Empty(t, o.GetProgress())
-	stale.Fence = 10
+	result.Fence = 10
 	for range 2 {
-		o, err = b.Result(stale, 3)
+		o, err = b.Result(result, 3)
 		require.NoError(t, err)
 		require.Len(t, o.GetProgress(), 1)
 		require.True(t, o.GetProgress()[0].GetInForce())
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -29,7 +29,7 @@
 	tokens float64
 	// recentAttempts is the decayed number of first attempts within the window.
 	recentAttempts float64
-	// last is when tokens and rate were last brought up to date.
+	// last is when tokens and recentAttempts were last brought up to date.
 	last    time.Time
 	refused uint64
 }
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -29,8 +29,8 @@
 				}
 			}
 		}
-		const kept = 10
-		limit := retry.DefaultShare*float64(attempts) + retry.DefaultReserve*now.Sub(begin).Seconds() + kept
+		const initialTokens = 10
+		limit := retry.DefaultShare*float64(attempts) + retry.DefaultReserve*now.Sub(begin).Seconds() + initialTokens
 		require.LessOrEqual(t, float64(allowed), limit+1, "seed %d", seed)
 		require.Greater(t, float64(allowed), 0.9*retry.DefaultShare*float64(attempts), "seed %d: allowance unused", seed)
 		require.Positive(t, b.Refused())
--- a/pkg/routing/index.go
+++ b/pkg/routing/index.go
@@ -92,7 +92,7 @@
 	return x.epochs
 }
 
-// dropOldestView evicts the least recently used server.
+// dropOldestView evicts the view of the least recently used server; of several, the one whose name sorts first.
 func (x *Index) dropOldestView() {
 	oldest := ""
 	for name, v := range x.servers {
@@ -200,6 +200,7 @@
 	b.holders = append(b.holders, holder{server, epoch})
 }
 
+// remove records that a server no longer holds a block.
 func (x *Index) remove(server string, hash uint64) {
 	e := x.blocks[hash]
 	if e == nil {
--- a/pkg/routing/picker.go
+++ b/pkg/routing/picker.go
@@ -127,8 +127,8 @@
 type Latency struct {
 	// Time is the time to the first byte; 0 when the call gives no information.
 	Time time.Duration
-	// AtLeast is true when the call ended after Time without a first byte, so Time is only a lower bound. Such a sample is
-	// used only when it is above the server's average: most hedged calls to a straggler end this way.
+	// AtLeast is true when the call ended after Time without a first byte, so Time is only a lower bound. Such a sample
+	// counts unless it is below the server's average. It is needed because most hedged calls to a straggler end this way.
 	AtLeast bool
 }
 
@@ -167,7 +167,7 @@
 	}
 }
 
-// Forget drops a server and its entries in the index, for example when it restarted or is no longer used.
+// Forget drops a server and invalidates its entries in the index, for example when it restarted or is no longer used.
 func (p *Picker) Forget(name string) {
 	delete(p.servers, name)
 	p.index.Forget(name)
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-func TestPickAvoidsTheBusier(t *testing.T) {
+func TestPickAvoidsTheBusierServer(t *testing.T) {
 	p := NewPicker()
 	k := candidates(2)
 	k[0].InFlight = 6
