--- a/pkg/slots/handover_test.go
+++ b/pkg/slots/handover_test.go
@@ -25,7 +25,7 @@
 const (
 	handoverPools = 12
 	// maxHandoverWait bounds the wait for a slot during an orderly hand-over of a shard.
-	maxHandoverWait = grant.RenewContended
+	maxHandoverWait = grant.ContendedRenewInterval
 )
 
 // newHandoverCluster returns a cluster with one server per pool, so that a shard that is not served delays calls. The
