--- a/internal/capacity/probes_request.go
+++ b/internal/capacity/probes_request.go
@@ -32,7 +32,7 @@
 func (k *keeper) Draw(_ context.Context, r *connect.Request[daisyhatchv1.DrawRequest]) (*connect.Response[daisyhatchv1.DrawResponse], error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	keep := func(string) admission.Keeping { return admission.Keeping{Limits: organisationLimits, Fence: 1} }
+	keep := func(string) admission.Authority { return admission.Authority{Limits: organisationLimits, Fence: 1} }
 	return connect.NewResponse(k.allotter.Draw(r.Msg, keep, k.now)), nil
 }
 
@@ -56,7 +56,7 @@
 		for i := range n {
 			name := fmt.Sprintf("organisation-%05d", i)
 			c.Arrive(name, organisationLimits, now)
-			c.Waiting(name, 1)
+			c.SetWaiting(name, 1)
 		}
 		r := c.Draw("keeper", func(string) bool { return true }, false, now)
 		out, err := client.Draw(context.Background(), connect.NewRequest(r))
@@ -66,7 +66,7 @@
 		c.Apply("keeper", out.Msg, now)
 		for i := range n {
 			name := fmt.Sprintf("organisation-%05d", i)
-			if v, _ := c.Again(name, now); v == admission.Admit {
+			if v, _ := c.Recheck(name, now); v == admission.Admit {
 				c.Leave(name, now)
 			}
 		}
