--- a/pkg/engine/engine.go
+++ b/pkg/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine defines how daisyhatch talks to backend servers. One engine protocol is one implementation of
-// Client; package engine/openai holds the one for OpenAI-compatible servers and plain HTTP services.
+// Package engine defines the interface between daisyhatch and backend servers. Each engine protocol is an
+// implementation of Client; package engine/openai implements it for OpenAI-compatible servers and plain HTTP services.
 package engine
 
 import (
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Operation is what a stage asks of a backend server.
+// Operation is the kind of work that a stage requests from a backend server.
 type Operation string
 
 // Operations.
 const (
-	// Chat generates text by the chat-completions protocol.
+	// Chat generates text with the chat-completions protocol.
 	Chat Operation = "chat"
 	// Embed encodes text into vectors.
 	Embed Operation = "embed"
-	// Retrieve looks documents up.
+	// Retrieve looks up documents.
 	Retrieve Operation = "retrieve"
-	// Rerank orders documents.
+	// Rerank sorts documents by relevance.
 	Rerank Operation = "rerank"
-	// HTTP passes a plain call of a service through.
+	// HTTP forwards a call to a plain HTTP service unchanged.
 	HTTP Operation = "http"
 )
 
-// Target is one backend server at one incarnation.
+// Target identifies one incarnation of a backend server: one run of its process.
 type Target struct {
 	Server      string
 	Incarnation string
@@ -33,17 +33,18 @@
 	// Address is IP:port.
 	Address       string
 	FailureDomain string
-	ChecksFence   bool
-	Capabilities  []string
-	Role          string
+	// ChecksFence is true when the server rejects orders with an outdated fencing number.
+	ChecksFence  bool
+	Capabilities []string
+	Role         string
 }
 
-// Call is one attempt at one stage.
+// Call is one attempt to run a stage on a backend server.
 type Call struct {
-	// AttemptID is the correlation ID; every answer and stream event must carry it.
+	// AttemptID is the correlation ID; every response and stream event must carry it.
 	AttemptID string
 	Operation Operation
-	// Method and Path are used by HTTP only; other operations have fixed paths.
+	// Method and Path apply to HTTP only; the other operations have fixed paths.
 	Method      string
 	Path        string
 	Model       string
@@ -52,35 +53,35 @@
 	Body        []byte
 	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
-	// Priority grows with urgency, 0 to 9.
+	// Priority ranges from 0 to 9; 9 is the most urgent.
 	Priority int
-	// ResumeFrom is the count of tokens already delivered to the caller; Text is what they said.
+	// ResumeFrom is the number of tokens already delivered to the caller; ResumeText is their text.
 	ResumeFrom int
 	ResumeText string
-	// NewConnection asks for a connection of its own. One that was idle may have gone silent without a word, which a
-	// call that must not be repeated would find out too late.
+	// NewConnection sends the call on a new connection instead of an idle one. An idle connection may have been lost
+	// without notice, and a call that must not be repeated would detect that only after it was sent.
 	NewConnection bool
-	// Prefill asks the server to run the prompt only, and to keep its KV cache for ExportKV under AttemptID.
+	// Prefill makes the server process the prompt only and keep its KV cache for ExportKV under AttemptID.
 	Prefill bool
-	// ProgressTimeout is the longest silence before the call fails as Silent; 0 takes the client's own.
+	// ProgressTimeout is the longest time without data before the call fails as Silent; 0 uses the client's default.
 	ProgressTimeout time.Duration
-	// MaxAnswer caps the answer in bytes; 0 takes the client's own.
+	// MaxAnswer is the largest accepted response body in bytes; 0 uses the client's default.
 	MaxAnswer int64
 }
 
-// Answer is a whole answer to a Call.
+// Answer is the complete response to a Call.
 type Answer struct {
 	AttemptID   string
 	Status      int
 	ContentType string
 	Body        []byte
-	// Usage is what the server says the call used; zero when it does not say.
+	// Usage is the token usage reported by the server; zero if it reports none.
 	Usage Usage
-	// FirstByte is the time from sending to the first byte of the answer.
+	// FirstByte is the time from the start of the call to the first byte of the response; 0 if none arrived.
 	FirstByte time.Duration
 }
 
-// Usage counts tokens.
+// Usage is the token usage of one call.
 type Usage struct {
 	PromptTokens     int
 	CompletionTokens int
@@ -90,134 +91,140 @@
 // Event is one event of a stream.
 type Event struct {
 	AttemptID string
-	// Index is the position of the token in the whole answer, from 0.
+	// Index is the position of the token in the complete output, starting at 0.
 	Index int
 	Text  string
-	// FinishReason is set on the last token event, as in the chat-completions protocol.
+	// FinishReason is set on the last token event, with the values of the chat-completions protocol.
 	FinishReason string
 	Usage        Usage
-	// End marks the explicit end of the stream. No event follows it.
+	// End marks the explicit end of the stream; no event follows.
 	End bool
 }
 
-// Stream yields the events of one streaming call.
+// Stream iterates over the events of one streaming call.
 type Stream interface {
-	// Next blocks for the next event. After the event with End it returns io.EOF; a stream that stops before
-	// End returns an *Error of kind Truncated.
+	// Next blocks until the next event. After the event with End set it returns io.EOF. If the stream stops before
+	// that event, it returns an *Error of kind Truncated.
 	Next(ctx context.Context) (Event, error)
-	// Close gives the stream up and releases its connection.
+	// Close aborts the stream if it has not ended and releases its connection.
 	Close() error
 }
 
-// Load is a backend server's own report.
+// Load is the load that a backend server reports.
 type Load struct {
-	// Age tells how long ago the report was true.
-	Age      time.Duration
+	// Age is the time since the report was measured.
+	Age time.Duration
+	// Running, Queued and Capacity count calls.
 	Running  int
 	Queued   int
 	Capacity int
-	Cold     bool
+	// Cold is true while the server warms up.
+	Cold bool
 }
 
-// CacheEvent tells of prompt-prefix blocks that entered or left a server's cache.
+// CacheEvent lists prompt-prefix blocks that were added to or removed from a server's cache.
 type CacheEvent struct {
-	// Sequence grows by one with each event of an incarnation; a gap means that events were lost.
+	// Sequence increases by one with each event of an incarnation; a gap means that events were lost.
 	Sequence uint64
 	Stored   []uint64
 	Removed  []uint64
-	// Cleared means that the whole cache was dropped.
+	// Cleared means that the whole cache was emptied.
 	Cleared bool
 }
 
-// CapabilityKV is announced by servers that run a prompt alone (Call.Prefill), and export and import its KV cache.
+// CapabilityKV is announced by servers that support Call.Prefill and can export and import the resulting KV cache.
 const CapabilityKV = "kv"
 
-// Roles of servers in a pool that splits prompts from generation.
+// Roles of servers in a pool with disaggregated prefill: some process prompts, others generate tokens.
 const (
 	RolePrefill = "prefill"
 	RoleDecode  = "decode"
 )
 
-// CapabilityCacheEvents is announced by servers that publish the events of their prompt cache, with blocks named as by
-// PrefixBlocks.
+// CapabilityCacheEvents is announced by servers that publish their prompt-cache events, with blocks identified by the
+// hashes that PrefixBlocks computes.
 const CapabilityCacheEvents = "cache-events"
 
-// MaxCachePage bounds one read of cache events in bytes, decompressed. A longer answer fails as Failed.
+// MaxCachePage is the maximum decompressed size in bytes of one response with cache events. A larger response is an
+// error of kind Failed.
 const MaxCachePage = 64 << 10
 
-// CachePage is one read of a server's cache events.
+// CachePage is the result of one CacheEvents call.
 type CachePage struct {
-	// Events are in the order in which the server tells them.
+	// Events are in the order in which the server sent them.
 	Events []CacheEvent
-	// Bytes is the length of the answer's body as it was sent.
+	// Bytes is the size of the response body as transmitted, before decompression.
 	Bytes int
 }
 
-// Order asks a server to change what it serves.
+// Order tells a server to change what it serves, such as its role, model or adapter.
 type Order struct {
 	ID    string
 	Kind  string
 	Value string
-	// Fence is the fencing number; servers that check it refuse one lower than the highest seen.
+	// Fence is the fencing number; servers that check it reject one lower than the highest they have seen.
 	Fence uint64
 }
 
-// OrderState is what a server reads back about an order's subject.
+// OrderState is the current value that a server reports for one kind of order.
 type OrderState struct {
 	Kind  string
 	Value string
 	Fence uint64
 }
 
-// Client talks to backend servers by one engine protocol. Errors are of type *Error.
+// Client communicates with backend servers over one engine protocol. All errors are of type *Error.
 type Client interface {
-	// Call runs one whole call.
+	// Call runs a call and returns its complete response.
 	Call(ctx context.Context, t Target, c Call) (Answer, error)
 	// Stream starts a streaming call.
 	Stream(ctx context.Context, t Target, c Call) (Stream, error)
-	// Cancel stops an attempt at the server. Cancelling one that is unknown or finished is no error.
+	// Cancel stops an attempt on the server. Cancelling an unknown or finished attempt is not an error.
 	Cancel(ctx context.Context, t Target, attemptID string) error
-	// Load reads the load report.
+	// Load fetches the server's load report.
 	Load(ctx context.Context, t Target) (Load, error)
-	// CacheEvents reads the newest events after sequence number after, at most limit of them and MaxCachePage bytes.
+	// CacheEvents fetches the events with a sequence number above after: the newest limit ones, within MaxCachePage
+	// bytes.
 	CacheEvents(ctx context.Context, t Target, after uint64, limit int) (CachePage, error)
-	// Order sends an order.
+	// Order sends an order and returns the resulting state. It fails as Stale when the server rejects the fencing
+	// number.
 	Order(ctx context.Context, t Target, o Order) (OrderState, error)
-	// ReadOrder reads back the state of an order's subject.
+	// ReadOrder fetches the current state for one kind of order.
 	ReadOrder(ctx context.Context, t Target, kind string) (OrderState, error)
-	// ExportKV names the server's KV cache of a finished prefill, for ImportKV on another server.
+	// ExportKV returns a handle to the KV cache of a finished prefill, to pass to ImportKV on another server.
 	ExportKV(ctx context.Context, t Target, attemptID string) ([]byte, error)
-	// ImportKV hands a KV cache over.
+	// ImportKV loads the KV cache that the handle in data refers to.
 	ImportKV(ctx context.Context, t Target, attemptID string, data []byte) error
-	// Probe checks liveness on a new connection. It fails as Refused when nothing listens, as Crashed when
-	// another incarnation answers, and as Silent when nothing answers in time.
+	// Probe checks over a new connection that the server is alive. It fails as Refused when nothing listens at the
+	// address, as Crashed when another incarnation responds, and as Silent when no response arrives in time.
 	Probe(ctx context.Context, t Target) error
 }
 
-// Kind classes an engine error by what the executor does about it.
+// Kind classifies an engine error by how the executor handles it.
 type Kind int
 
 // Kinds of engine error.
 const (
-	// Refused means that no connection was made, or the server said it did not start.
+	// Refused means that the call certainly did not run: no byte of it was sent, or no connection was made.
 	Refused Kind = iota + 1
-	// Overloaded means that the server was too busy and did not start.
+	// Overloaded means that the server was too busy and did not start the call (429 or 503).
 	Overloaded
-	// Crashed means that the connection broke and the server is gone.
+	// Crashed means that the connection broke after the call may have been sent, or that another incarnation of the
+	// server responded.
 	Crashed
-	// Silent means that nothing arrived for the progress timeout.
+	// Silent means that no data arrived within the progress timeout.
 	Silent
-	// Truncated means that a stream or body ended before its end mark.
+	// Truncated means that a stream or body ended early.
 	Truncated
-	// Crossed means that an answer carried another attempt's ID.
+	// Crossed means that a response carried the ID of another attempt, or lacked an ID that the server must send.
 	Crossed
-	// Failed means that the server answered with an error of its own (5xx).
+	// Failed means that the server returned a 5xx error or a malformed response.
 	Failed
-	// Rejected means that the server rejected the request itself (4xx).
+	// Rejected means that the server rejected the request as invalid (3xx or 4xx).
 	Rejected
-	// Stale means that the server refused an order's fencing number.
+	// Stale means that the server rejected an order because of its fencing number (409).
 	Stale
-	// Canceled means that the caller's context ended.
+	// Canceled means that the caller's context was cancelled.
 	Canceled
 )
 
@@ -230,19 +237,19 @@
 	return names[k]
 }
 
-// Error is an error of a call to a backend server.
+// Error is a failed call to a backend server.
 type Error struct {
 	Kind   Kind
 	Server string
-	// Sent is true when any byte of the call may have left. It is false only when that is certain.
+	// Sent is true when any byte of the call may have been sent. It is false only when certainly none was.
 	Sent bool
-	// Status and Body are the server's own answer, for Failed and Rejected.
+	// Status and Body are the server's HTTP status and the start of its response body, for error statuses.
 	Status int
 	Body   []byte
-	// RetryAfter is the server's own wish, 0 when it had none.
+	// RetryAfter is the delay that the server asked for; 0 if none.
 	RetryAfter time.Duration
-	// Alive is true when a probe on a new connection found the server well after the error: the connection is
-	// at fault, not the server.
+	// Alive is true when a probe over a new connection succeeded after the error, so the connection failed and not
+	// the server.
 	Alive bool
 	Err   error
 }
@@ -252,5 +259,5 @@
 	return fmt.Sprintf("engine: server %s: %s (sent %t): %v", e.Server, e.Kind, e.Sent, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
--- a/pkg/engine/openai/cache_test.go
+++ b/pkg/engine/openai/cache_test.go
@@ -13,8 +13,9 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine/openai"
 )
 
-// TestHugeCacheAnswers sends answers that are too long, plain and compressed, or not what they say.
-func TestHugeCacheAnswers(t *testing.T) {
+// TestInvalidCacheResponses sends cache responses that are too large before or after decompression, that don't match
+// their encoding, or that are not JSON. Each has to fail with an engine error.
+func TestInvalidCacheResponses(t *testing.T) {
 	long := append(bytes.Repeat([]byte(" "), 2*engine.MaxCachePage), `{"events":[]}`...)
 	var zipped bytes.Buffer
 	z := gzip.NewWriter(&zipped)
@@ -25,12 +26,12 @@
 		encoding string
 		body     []byte
 	}{
-		"long":                {"", long},
-		"long once unpacked":  {"gzip", zipped.Bytes()},
-		"not compressed":      {"gzip", []byte(`{"events":[]}`)},
-		"compressed and torn": {"gzip", zipped.Bytes()[:zipped.Len()/2]},
-		"unknown encoding":    {"br", zipped.Bytes()},
-		"not JSON":            {"", []byte("no")},
+		"too large":                   {"", long},
+		"too large when decompressed": {"gzip", zipped.Bytes()},
+		"declared gzip but plain":     {"gzip", []byte(`{"events":[]}`)},
+		"truncated gzip":              {"gzip", zipped.Bytes()[:zipped.Len()/2]},
+		"unknown encoding":            {"br", zipped.Bytes()},
+		"not JSON":                    {"", []byte("no")},
 	}
 	for name, a := range answers {
 		t.Run(name, func(t *testing.T) {
@@ -46,8 +47,8 @@
 	}
 }
 
-// TestMoreEventsThanAskedFor keeps the newest ones.
-func TestMoreEventsThanAskedFor(t *testing.T) {
+// TestCacheEventsKeepsNewest checks that only the newest events are returned when a server sends more than requested.
+func TestCacheEventsKeepsNewest(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"events":[{"sequence":1},{"sequence":2},{"sequence":3}]}`))
 	}))
--- a/pkg/engine/openai/call.go
+++ b/pkg/engine/openai/call.go
@@ -19,10 +19,10 @@
 	"github.com/daisyhatch/daisyhatch/pkg/holdoff"
 )
 
-// errProgress is the cause of a context that ended since the server said nothing for too long.
+// errProgress is the cancellation cause when the server sends no data within the progress timeout.
 var errProgress = errors.New("openai: no progress")
 
-// maxErrorBody bounds what is kept of a server's error answer.
+// maxErrorBody is the number of bytes kept of an error response's body.
 const maxErrorBody = 8 << 10
 
 // Call implements engine.Client.
@@ -56,7 +56,7 @@
 	return c.opts.MaxAnswer
 }
 
-// exchange is one HTTP exchange with a backend server.
+// exchange is one HTTP request to a backend server and its response.
 type exchange struct {
 	target  engine.Target
 	call    engine.Call
@@ -69,7 +69,7 @@
 	quiet   time.Duration
 }
 
-// start sends the call and waits for the head of a good answer. Errors are *engine.Error.
+// start sends the call and waits for the response headers, which it checks. Errors are *engine.Error.
 func (c *Client) start(ctx context.Context, t engine.Target, call engine.Call, stream bool) (*exchange, error) {
 	x := &exchange{target: t, call: call, quiet: c.opts.ProgressTimeout}
 	if call.ProgressTimeout > 0 {
@@ -92,10 +92,11 @@
 	return x, nil
 }
 
-// maxUnfitConns bounds how many connections that are too old or of another incarnation one call discards.
+// maxUnfitConns is the maximum number of connections that one call discards because they are too old or lead to another
+// incarnation. Before the last try, all idle connections are closed.
 const maxUnfitConns = 4
 
-// send makes the exchange on a connection below the age limit to the incarnation that the call is for.
+// send sends the request over a connection that is below the age limit and leads to the target's incarnation.
 func (x *exchange) send(c *Client, stream bool) error {
 	for try := 0; ; try++ {
 		x.sending = &sending{begun: time.Now(), maxAge: c.opts.MaxConnAge}
@@ -107,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		resp, err := c.clientFor(x.call).Do(req) //nolint:bodyclose // finish closes it
+		resp, err := c.clientFor(x.call).Do(req) //nolint:bodyclose // closed by finish
 		if err == nil {
 			x.resp = resp
 			c.noticed(x.target, resp)
@@ -125,7 +126,7 @@
 	}
 }
 
-// noticed passes on what an answer says of its server.
+// noticed reports to Options.Noticed when a response says that its server is leaving or wants no calls for a time.
 func (c *Client) noticed(t engine.Target, resp *http.Response) {
 	n := holdoff.Parse(resp.StatusCode, resp.Header, HeaderLeaving)
 	if c.opts.Noticed != nil && !n.Empty() {
@@ -133,7 +134,7 @@
 	}
 }
 
-// clientFor returns the HTTP client for a call: the one without idle connections when the call asks for a new one.
+// clientFor returns the HTTP client for a call: the one without keep-alive if the call needs a new connection.
 func (c *Client) clientFor(call engine.Call) *http.Client {
 	if call.NewConnection {
 		return c.probe
@@ -141,7 +142,7 @@
 	return c.http
 }
 
-// finish releases what the exchange holds.
+// finish cancels the request and closes the response body.
 func (x *exchange) finish() {
 	x.idle.Stop()
 	x.cancel(nil)
@@ -150,8 +151,8 @@
 	}
 }
 
-// Read reads the answer's body. The progress timeout runs only while a read waits, so that a slow reader is not
-// taken for a silent server.
+// Read reads the response body. The progress timeout runs only during a read, so that a slow reader is not mistaken for
+// a silent server.
 func (x *exchange) Read(p []byte) (int, error) {
 	x.idle.Reset(x.quiet)
 	n, err := x.resp.Body.Read(p)
@@ -159,7 +160,7 @@
 	return n, err
 }
 
-// fail turns an error of the transport into an *engine.Error.
+// fail ends the call and converts a transport error to an *engine.Error.
 func (x *exchange) fail(err error) error {
 	e := &engine.Error{Server: x.target.Server, Err: err, Sent: x.sending.giveUp()}
 	switch {
@@ -177,11 +178,11 @@
 	return e
 }
 
-// checkHead checks the answer's correlation ID and status.
+// checkHead checks the response's attempt ID and status.
 func (x *exchange) checkHead() error {
 	id := x.resp.Header.Get(HeaderAttempt)
 	if !x.ownID(id) {
-		return x.wrong(engine.Crossed, fmt.Errorf("answer to attempt %q", id))
+		return x.wrong(engine.Crossed, fmt.Errorf("response belongs to attempt %q", id))
 	}
 	if x.call.Operation == engine.HTTP && x.resp.StatusCode < http.StatusInternalServerError {
 		return nil
@@ -197,7 +198,8 @@
 	return e
 }
 
-// ownID reports whether an answer with the correlation ID id may be taken.
+// ownID reports whether id is an acceptable attempt ID for a response to this call. It may be missing unless the server
+// announced CapabilityAttemptID.
 func (x *exchange) ownID(id string) bool {
 	if id == "" {
 		return !slices.Contains(x.target.Capabilities, CapabilityAttemptID)
@@ -220,7 +222,7 @@
 	}
 }
 
-// readAll reads the whole body, at most limit bytes.
+// readAll reads the whole body. A body above limit bytes is an error.
 func (x *exchange) readAll(limit int64) ([]byte, error) {
 	var buf bytes.Buffer
 	if n := x.resp.ContentLength; n > 0 && n <= limit {
@@ -228,15 +230,16 @@
 	}
 	n, err := buf.ReadFrom(io.LimitReader(x, limit+1))
 	if err != nil {
-		return nil, fmt.Errorf("read answer: %w", err)
+		return nil, fmt.Errorf("read response: %w", err)
 	}
 	if n > limit {
-		return nil, fmt.Errorf("answer above %d bytes", limit)
+		return nil, fmt.Errorf("response exceeds %d bytes", limit)
 	}
 	return buf.Bytes(), nil
 }
 
-// checkWhole checks that the body is whole. A body that ends with its connection proves nothing by itself.
+// checkWhole checks that the body is complete. When the end of the connection delimits the body, only a valid
+// JSON value proves that; a delimited body of a plain HTTP service needs no further check.
 func (x *exchange) checkWhole(body []byte) error {
 	delimited := x.resp.ContentLength >= 0 || len(x.resp.TransferEncoding) > 0
 	if delimited && x.call.Operation == engine.HTTP {
@@ -245,7 +248,7 @@
 	if json.Valid(body) {
 		return nil
 	}
-	return x.wrong(engine.Truncated, errors.New("answer is not a whole JSON value"))
+	return x.wrong(engine.Truncated, errors.New("response is not a complete JSON value"))
 }
 
 func newRequest(ctx context.Context, t engine.Target, call engine.Call, stream bool) (*http.Request, error) {
@@ -300,7 +303,7 @@
 	}
 }
 
-// withResume adds the text that the caller has to a chat body.
+// withResume adds the text that the caller already has to a chat body.
 func withResume(body []byte, call engine.Call) []byte {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -318,7 +321,7 @@
 	return out
 }
 
-// usageOf reads the usage that a typed answer reports.
+// usageOf returns the token usage in a response body; zero for plain HTTP services and if none is reported.
 func usageOf(body []byte, op engine.Operation) engine.Usage {
 	if op == engine.HTTP {
 		return engine.Usage{}
@@ -332,12 +335,12 @@
 	return v.Usage.usage()
 }
 
-// refused reports whether err says that nothing listens at the address.
+// refused reports whether err means that nothing listens at the address.
 func refused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// timedOut reports whether err is a timeout of the network, such as one while connecting.
+// timedOut reports whether err is a network timeout, for example while connecting.
 func timedOut(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) && n.Timeout()
--- a/pkg/engine/openai/client.go
+++ b/pkg/engine/openai/client.go
@@ -1,22 +1,22 @@
-// Package openai talks to backend servers by the OpenAI-compatible protocol, and to plain HTTP services.
+// Package openai implements engine.Client for OpenAI-compatible servers and for plain HTTP services.
 //
-// Bodies are those of the protocol. What daisyhatch adds goes in headers, and in a stream in the extra
-// object "daisyhatch" of a chunk, so that stock servers work: they ignore it.
+// Bodies follow the protocol. daisyhatch adds its data in headers and, in stream chunks and resumed calls, in an object
+// "daisyhatch". Unmodified servers ignore both.
 //
-//	X-Daisyhatch-Attempt       the attempt's correlation ID, echoed by the server
-//	X-Daisyhatch-Remaining-Ms  time left until the request's deadline
-//	X-Daisyhatch-Priority      0 to 9, grows with urgency
-//	X-Daisyhatch-Resume-From   count of tokens that the caller has; the body's object "daisyhatch" holds their text
-//	X-Daisyhatch-Resumed-From  the server's answer: index of its first token
-//	X-Daisyhatch-Prefill       1 asks to run the prompt only; the answer is a whole completion without text
-//	X-Daisyhatch-Incarnation   the server's incarnation, on every answer
-//	Server-Leaving             1 on every answer of a server that is about to end
+//	X-Daisyhatch-Attempt       attempt ID, echoed by the server
+//	X-Daisyhatch-Remaining-Ms  time left until the request's deadline in milliseconds
+//	X-Daisyhatch-Priority      0 to 9; 9 is the most urgent
+//	X-Daisyhatch-Resume-From   number of tokens that the caller has; object "daisyhatch" in the body holds their text
+//	X-Daisyhatch-Resumed-From  in the response: index of the first token that the server sends
+//	X-Daisyhatch-Prefill       1 means process the prompt only; the response is a complete, unstreamed one without text
+//	X-Daisyhatch-Incarnation   the server's incarnation, in every response
+//	Server-Leaving             1 in every response of a server that is shutting down
 //
-// A server that turns a call away with 503 may tell in Retry-After for how many seconds it wants none from this VM.
+// A server that rejects a call with 503 may use Retry-After to stop further calls from this VM for some seconds.
 //
-// An answer that carries another attempt's ID is dropped. One that carries none is taken, unless the server announced
-// the capability "attempt-id". A server that announced the capability "incarnation" is asked for it on each new
-// connection, by its health check, so that a call meant for an incarnation that is gone is never sent.
+// A response with the ID of another attempt is rejected. A response without an ID is accepted unless the server
+// announced the capability "attempt-id". If the server announced the capability "incarnation", the client makes a
+// health check on each new connection to learn its incarnation, so that a call for an earlier one is never sent.
 package openai
 
 import (
@@ -30,7 +30,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/holdoff"
 )
 
-// Headers that the protocol adds.
+// Headers that daisyhatch adds to the protocol.
 const (
 	HeaderAttempt     = "X-Daisyhatch-Attempt"
 	HeaderRemaining   = "X-Daisyhatch-Remaining-Ms"
@@ -42,10 +42,10 @@
 	HeaderPrefill     = "X-Daisyhatch-Prefill"
 )
 
-// CapabilityAttemptID is announced by servers that echo the attempt ID on every answer.
+// CapabilityAttemptID is announced by servers that echo the attempt ID in every response.
 const CapabilityAttemptID = "attempt-id"
 
-// Paths of the fixed operations.
+// Paths of the operations and control calls.
 const (
 	PathChat     = "/v1/chat/completions"
 	PathEmbed    = "/v1/embeddings"
@@ -69,20 +69,22 @@
 	defaultIdlePerServer   = 64
 )
 
-// Options set limits of a Client. Zero values take the defaults.
+// Options configure a Client. Zero values select the defaults.
 type Options struct {
 	ConnectTimeout time.Duration
-	// ProgressTimeout is the longest silence of a server in the midst of a call that sets none itself.
+	// ProgressTimeout is the longest time without data during a call, for calls that set none, and the total time of
+	// a control call.
 	ProgressTimeout time.Duration
-	// MaxAnswer caps a whole answer in bytes.
+	// MaxAnswer is the largest accepted response body in bytes, for calls that set none.
 	MaxAnswer int64
-	// MaxConnAge is the age after which a connection is not used for another call.
+	// MaxConnAge is the age above which a connection is not reused.
 	MaxConnAge time.Duration
-	// KeepAlive is the time between the TCP keep-alive probes of a quiet connection.
+	// KeepAlive is the TCP keep-alive interval; a connection fails after 3 unanswered probes. Dial overrides it.
 	KeepAlive time.Duration
-	// Noticed is told of answers whose server leaves, or wants no calls for a time; nil drops that.
+	// Noticed, if not nil, is called for each response that says that its server is leaving or wants no calls for a
+	// time.
 	Noticed func(t engine.Target, n holdoff.Notice)
-	// Dial makes connections; nil dials TCP.
+	// Dial opens connections; nil uses TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -90,7 +92,7 @@
 type Client struct {
 	opts Options
 	http *http.Client
-	// probe makes a new connection for each call.
+	// probe opens a new connection for each call.
 	probe *http.Client
 }
 
@@ -146,12 +148,12 @@
 	}
 }
 
-// noRedirect hands redirects to the caller: following one would be a second call.
+// noRedirect returns redirects to the caller, since following one would send a second call.
 func noRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
-// oneShot is a request body that the transport can't replay, so that it never sends a call twice by itself.
+// oneShot is a request body that http.Transport can't rewind, which keeps it from resending a call on its own.
 type oneShot struct {
 	io.Reader
 }
--- a/pkg/engine/openai/control.go
+++ b/pkg/engine/openai/control.go
@@ -17,16 +17,16 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// Limits of control calls.
+// Response limits in bytes and the content encoding of control calls.
 const (
+	// maxControlAnswer is the maximum size of a JSON response.
 	maxControlAnswer = 1 << 20
-	// maxKV bounds in bytes the handle by which a KV cache is exported.
-	maxKV = 1 << 20
-	// encodingGzip names the compression of answers.
+	// maxKV is the maximum size in bytes of an exported KV cache handle.
+	maxKV        = 1 << 20
 	encodingGzip = "gzip"
 )
 
-// LoadReport is the body of a load report.
+// LoadReport is the response body of PathLoad. See engine.Load for the fields.
 type LoadReport struct {
 	AgeMS    int64 `json:"age_ms"`
 	Running  int   `json:"running"`
@@ -35,12 +35,12 @@
 	Cold     bool  `json:"cold"`
 }
 
-// CacheReport is the body of a read of cache events.
+// CacheReport is the response body of PathCache.
 type CacheReport struct {
 	Events []CacheReportEvent `json:"events"`
 }
 
-// CacheReportEvent is one cache event.
+// CacheReportEvent is the JSON form of an engine.CacheEvent.
 type CacheReportEvent struct {
 	Sequence uint64   `json:"sequence"`
 	Stored   []uint64 `json:"stored,omitempty"`
@@ -48,7 +48,7 @@
 	Cleared  bool     `json:"cleared,omitempty"`
 }
 
-// OrderBody is the body of an order and of what is read back.
+// OrderBody is the request and response body of PathOrders.
 type OrderBody struct {
 	ID    string `json:"id,omitempty"`
 	Kind  string `json:"kind"`
@@ -56,7 +56,7 @@
 	Fence uint64 `json:"fence"`
 }
 
-// CancelBody is the body of a cancel.
+// CancelBody is the request body of PathCancel.
 type CancelBody struct {
 	Attempt string `json:"attempt"`
 }
@@ -147,7 +147,7 @@
 	return c.control(ctx, t, control{method: http.MethodGet, path: PathHealth, probe: true})
 }
 
-// control is one call beside the stage calls. Bodies are JSON, or raw bytes.
+// control is a call to a server other than a stage call. Bodies are JSON (in, out) or raw bytes (rawIn, rawOut).
 type control struct {
 	method string
 	path   string
@@ -155,13 +155,13 @@
 	out    any
 	rawIn  []byte
 	rawOut *[]byte
-	// most bounds the answer's body in bytes; 0 takes the bound of its form.
+	// most is the maximum size of the response body in bytes; 0 uses the limit for raw or JSON bodies.
 	most int
-	// size is set to the length of the answer's body as sent.
+	// size, if not nil, receives the transmitted size of the response body in bytes.
 	size *int
-	// compressed asks for a compressed answer.
+	// compressed requests a gzip-compressed response.
 	compressed bool
-	// probe asks for a new connection.
+	// probe sends the call on a new connection, without asking for the incarnation first.
 	probe bool
 }
 
@@ -220,7 +220,7 @@
 	return req, nil
 }
 
-// counted counts the bytes read.
+// counted is a reader that counts the bytes read.
 type counted struct {
 	io.Reader
 	n int
@@ -232,20 +232,21 @@
 	return n, err
 }
 
-// read reads the answer's body, decompressed if it must be, to one byte above the limit.
+// read reads and if necessary decompresses the response body, up to one byte above the limit so that decode can detect
+// a body that is too large.
 func (r control) read(resp *http.Response) ([]byte, error) {
 	sent := &counted{Reader: resp.Body}
 	var body io.Reader = sent
 	if r.compressed && resp.Header.Get("Content-Encoding") == encodingGzip {
 		z, err := gzip.NewReader(sent)
 		if err != nil {
-			return nil, fmt.Errorf("decompress answer: %w", err)
+			return nil, fmt.Errorf("decompress response: %w", err)
 		}
 		body = z
 	}
 	b, err := io.ReadAll(io.LimitReader(body, int64(r.limit())+1))
 	if err != nil {
-		return nil, fmt.Errorf("read answer: %w", err)
+		return nil, fmt.Errorf("read response: %w", err)
 	}
 	if r.size != nil {
 		*r.size = sent.n
@@ -253,7 +254,7 @@
 	return b, nil
 }
 
-// limit returns the longest body that is taken in bytes.
+// limit returns the maximum response body size in bytes.
 func (r control) limit() int {
 	switch {
 	case r.most > 0:
@@ -267,7 +268,7 @@
 func (r control) check(t engine.Target, resp *http.Response, body []byte) error {
 	got := resp.Header.Get(HeaderIncarnation)
 	if got != "" && t.Incarnation != "" && got != t.Incarnation {
-		return &engine.Error{Kind: engine.Crashed, Server: t.Server, Sent: true, Err: fmt.Errorf("incarnation is %q now", got)}
+		return &engine.Error{Kind: engine.Crashed, Server: t.Server, Sent: true, Err: fmt.Errorf("server now has incarnation %q", got)}
 	}
 	if resp.StatusCode/100 == 2 {
 		return nil
@@ -283,7 +284,7 @@
 
 func (r control) decode(t engine.Target, body []byte) error {
 	if len(body) > r.limit() {
-		return &engine.Error{Kind: engine.Failed, Server: t.Server, Sent: true, Err: errors.New("answer too large")}
+		return &engine.Error{Kind: engine.Failed, Server: t.Server, Sent: true, Err: errors.New("response too large")}
 	}
 	if r.rawOut != nil {
 		*r.rawOut = body
@@ -293,7 +294,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, r.out); err != nil {
-		return &engine.Error{Kind: engine.Failed, Server: t.Server, Sent: true, Err: fmt.Errorf("decode answer: %w", err)}
+		return &engine.Error{Kind: engine.Failed, Server: t.Server, Sent: true, Err: fmt.Errorf("decode response: %w", err)}
 	}
 	return nil
 }
--- a/pkg/engine/openai/gate.go
+++ b/pkg/engine/openai/gate.go
@@ -10,14 +10,15 @@
 	"time"
 )
 
-// errSealed fails a write on a connection whose call was given up before anything was written.
-var errSealed = errors.New("openai: call given up before it was sent")
+// errSealed is returned by writes to a connection whose call was abandoned before any byte was written.
+var errSealed = errors.New("openai: call abandoned before it was sent")
 
-// gatedConn is a connection that knows whether any byte of the present call was handed to the network.
+// gatedConn is a connection that records whether any byte of the current call was written, and can block writes until
+// then.
 type gatedConn struct {
 	net.Conn
 	born time.Time
-	// incarnation is the server's; empty when it was not asked or did not tell.
+	// incarnation is the server's incarnation; empty if the server was not asked or did not report it.
 	incarnation string
 
 	mu     sync.Mutex
@@ -37,15 +38,14 @@
 	return c.Conn.Write(p)
 }
 
-// begin readies the connection for the next call.
+// begin resets the write state for the next call.
 func (c *gatedConn) begin() {
 	c.mu.Lock()
 	c.wrote = false
 	c.mu.Unlock()
 }
 
-// seal makes sure that nothing of the call is written from now on, if nothing was yet. It returns false when a
-// write had begun before.
+// seal blocks all further writes if no write of the call has started yet. It returns false if one has.
 func (c *gatedConn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,22 +77,26 @@
 	}
 }
 
-// sending follows one call from the choice of a connection to its first write.
+// sending tracks one call from the choice of its connection to the first byte of the response, to determine whether any
+// byte of the call may have been sent.
 type sending struct {
 	begun  time.Time
 	maxAge time.Duration
-	// incarnation is the one that the call is for; empty when the server tells none.
+	// incarnation is the required incarnation of the server; empty if the server does not report it.
 	incarnation string
 
 	mu   sync.Mutex
 	conn *gatedConn
-	// unfit is true when the connection is too old or goes to another incarnation; foreign when that is certain
-	// for every connection, since this one is new.
+	// unfit is true when the connection is too old or leads to another incarnation. foreign is true when the server
+	// certainly has another incarnation now, since a connection opened during this call leads to one.
 	unfit   bool
 	foreign bool
-	given   bool
-	unsure  bool
-	first   time.Time
+	// given is true once giveUp was called.
+	given bool
+	// unsure is true when bytes may have been sent on a connection that is not tracked any more.
+	unsure bool
+	// first is when the first byte of the response arrived.
+	first time.Time
 }
 
 func (s *sending) trace() *httptrace.ClientTrace {
@@ -129,21 +133,21 @@
 	}
 }
 
-// again reports whether the call was not sent since its connection was unfit for it, and another one may do.
+// again reports whether the call was not sent because its connection was unfit, and another connection may work.
 func (s *sending) again() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unfit && !s.foreign && !s.unsure
 }
 
-// wrongIncarnation reports whether the call was not sent since the server has another incarnation now.
+// wrongIncarnation reports whether the call was not sent because the server now has another incarnation.
 func (s *sending) wrongIncarnation() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.foreign && !s.unsure
 }
 
-// giveUp ends the call and reports whether any byte of it may have left. When it returns false, none will.
+// giveUp ends the call and reports whether any byte of it may have been sent. After it returns false, none will be.
 func (s *sending) giveUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +158,7 @@
 	return s.conn != nil && !s.conn.seal()
 }
 
-// firstByte returns the time from the begin of the call to the first byte of its answer.
+// firstByte returns the time from the start of the call to the first byte of its response; 0 if none arrived.
 func (s *sending) firstByte() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/engine/openai/identity.go
+++ b/pkg/engine/openai/identity.go
@@ -14,20 +14,20 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// CapabilityIncarnation is announced by servers that put their incarnation on every answer, that of the health check
-// included. A new connection to such a server carries no call before it has told its incarnation.
+// CapabilityIncarnation is announced by servers that send their incarnation in every response, including that of the
+// health check. The client asks such a server for its incarnation on each new connection before it sends a call.
 const CapabilityIncarnation = "incarnation"
 
 var (
-	// errIncarnation fails a call that was meant for another incarnation of its server.
-	errIncarnation = errors.New("openai: another incarnation answers")
-	// errOneAnswer means that a server ends the connection after its answer.
-	errOneAnswer = errors.New("openai: connection ends after one answer")
+	// errIncarnation means that the server now has another incarnation than the call's target.
+	errIncarnation = errors.New("openai: server has another incarnation")
+	// errOneAnswer means that the server closes the connection after the health check, so no call can follow on it.
+	errOneAnswer = errors.New("openai: server closes the connection after one response")
 )
 
 type identifyKey struct{}
 
-// withIdentify lets the dial of a connection to the target ask for the incarnation, if the server tells it.
+// withIdentify makes gatedDial ask for the server's incarnation on a new connection, if the server reports it.
 func withIdentify(ctx context.Context, t engine.Target) context.Context {
 	if !tellsIncarnation(t) {
 		return ctx
@@ -39,7 +39,7 @@
 	return t.Incarnation != "" && slices.Contains(t.Capabilities, CapabilityIncarnation)
 }
 
-// identify asks for the incarnation of the server at the other end of a new connection.
+// identify makes a health check on a new connection and returns the server's incarnation.
 func identify(ctx context.Context, conn net.Conn, address string) (string, error) {
 	if by, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(by); err != nil {
--- a/pkg/engine/openai/identity_test.go
+++ b/pkg/engine/openai/identity_test.go
@@ -14,9 +14,9 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine/openai"
 )
 
-// TestCallForAFormerIncarnationIsNotSent restarts a server within the life of a grant: calls for the incarnation that
-// is gone reach the new one neither on a new connection nor on one that a call for the new one has made.
-func TestCallForAFormerIncarnationIsNotSent(t *testing.T) {
+// TestCallForFormerIncarnationNotSent restarts a server while a caller still targets the former incarnation. Its calls
+// must not reach the new incarnation, neither on a new connection nor on one that was opened for the new incarnation.
+func TestCallForFormerIncarnationNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New()
 		n.Latency = time.Millisecond
@@ -50,7 +50,7 @@
 		_, err = c.Load(t.Context(), s.Target())
 		require.NoError(t, err)
 		refused()
-		require.Len(t, s.Records(), 2, "one call for each incarnation")
+		require.Len(t, s.Records(), 2, "exactly one call per incarnation")
 		s.Crash()
 	})
 }
--- a/pkg/engine/openai/newconn_test.go
+++ b/pkg/engine/openai/newconn_test.go
@@ -14,8 +14,9 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine/openai"
 )
 
-// A call that must not be repeated is answered although the idle connection to its server has gone silent.
-func TestNewConnectionAvoidsASilentOne(t *testing.T) {
+// TestNewConnectionAvoidsSilentOne checks that a call with NewConnection succeeds although the idle connection to its
+// server delivers no packets any more; without it, the call uses that connection and times out.
+func TestNewConnectionAvoidsSilentOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New()
 		l, err := n.Listen("10.0.0.2:80")
@@ -42,6 +43,6 @@
 		_, err = c.Call(t.Context(), target, call)
 		var e *engine.Error
 		require.ErrorAs(t, err, &e)
-		require.Equal(t, engine.Silent, e.Kind, "the idle connection is silent")
+		require.Equal(t, engine.Silent, e.Kind, "a call on the idle connection times out")
 	})
 }
--- a/pkg/engine/openai/notice_test.go
+++ b/pkg/engine/openai/notice_test.go
@@ -13,17 +13,18 @@
 	"github.com/daisyhatch/daisyhatch/pkg/holdoff"
 )
 
-// What a server says of itself is passed on from every answer: of calls, streams, failures and control calls.
+// TestNoticesArePassedOn checks that Options.Noticed gets a server's leaving and retry headers from the responses of
+// calls, streams and control calls, whether they succeed or fail.
 func TestNoticesArePassedOn(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
 		header http.Header
 		want   holdoff.Notice
 	}{
-		"leaves":         {http.StatusOK, http.Header{openai.HeaderLeaving: {"1"}}, holdoff.Notice{Leaving: true}},
-		"turns away":     {http.StatusServiceUnavailable, http.Header{"Retry-After": {"1.5"}}, holdoff.Notice{Wait: 1500 * time.Millisecond}},
-		"fails, leaving": {http.StatusInternalServerError, http.Header{openai.HeaderLeaving: {"1"}}, holdoff.Notice{Leaving: true}},
-		"says nothing":   {http.StatusOK, nil, holdoff.Notice{}},
+		"leaving":                 {http.StatusOK, http.Header{openai.HeaderLeaving: {"1"}}, holdoff.Notice{Leaving: true}},
+		"overloaded, retry later": {http.StatusServiceUnavailable, http.Header{"Retry-After": {"1.5"}}, holdoff.Notice{Wait: 1500 * time.Millisecond}},
+		"failed while leaving":    {http.StatusInternalServerError, http.Header{openai.HeaderLeaving: {"1"}}, holdoff.Notice{Leaving: true}},
+		"no notice":               {http.StatusOK, nil, holdoff.Notice{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/pkg/engine/openai/openai_test.go
+++ b/pkg/engine/openai/openai_test.go
@@ -33,7 +33,7 @@
 
 var errNegative = errors.New("negative index")
 
-// readAll reads a stream to its end. It fails when the stream ends without a mark.
+// readAll returns the text of a stream. It fails when the stream ends without an end marker.
 func readAll(ctx context.Context, s engine.Stream) (string, error) {
 	defer func() { _ = s.Close() }()
 	var text strings.Builder
@@ -52,12 +52,12 @@
 	}
 	_, err := s.Next(ctx)
 	if !errors.Is(err, io.EOF) {
-		return text.String(), fmt.Errorf("after the end: %w", err)
+		return text.String(), fmt.Errorf("expected io.EOF after the end of the stream: %w", err)
 	}
 	return text.String(), nil
 }
 
-func TestStockServerStreams(t *testing.T) {
+func TestStreamFromUnmodifiedServer(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s", Stock: true, Tokens: 5})
 	c := newClient(t, openai.Options{})
 	st, err := c.Stream(t.Context(), s.Target(), chat("q"))
@@ -67,7 +67,7 @@
 	require.Equal(t, standin.AnswerText("q", 5), text)
 }
 
-func TestResumedStreamStartsWhereItWasCut(t *testing.T) {
+func TestResumedStreamContinuesAtToken(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s", Tokens: 5})
 	c := newClient(t, openai.Options{})
 	call := chat("q")
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestMissingAttemptIDOfAServerThatEchoesIt(t *testing.T) {
+func TestMissingAttemptIDIsRejected(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s", Stock: true})
 	c := newClient(t, openai.Options{})
 	target := s.Target()
@@ -117,7 +117,7 @@
 	require.Equal(t, engine.Crossed, errorOf(t, err).Kind)
 }
 
-func TestStatusesAreClassed(t *testing.T) {
+func TestErrorKindByStatus(t *testing.T) {
 	for status, kind := range map[int]engine.Kind{
 		http.StatusTooManyRequests:     engine.Overloaded,
 		http.StatusServiceUnavailable:  engine.Overloaded,
@@ -160,16 +160,16 @@
 	for i := range 3 {
 		calls = append(calls, chat(strings.Repeat(fmt.Sprint(i), engine.PrefixBlock)))
 		_, err = c.Call(ctx, target, calls[i])
-		require.Error(t, err, "a stream is not one JSON value")
+		require.Error(t, err, "a streamed response is not a single JSON value")
 	}
 	page, err := c.CacheEvents(ctx, target, 0, 10)
 	require.NoError(t, err)
 	require.Len(t, page.Events, 2)
-	require.Equal(t, uint64(3), page.Events[1].Sequence, "the gap shows")
-	require.Equal(t, engine.PrefixBlocks(calls[2].Body), page.Events[1].Stored, "both sides name blocks alike")
+	require.Equal(t, uint64(3), page.Events[1].Sequence, "the gap in sequence numbers is preserved")
+	require.Equal(t, engine.PrefixBlocks(calls[2].Body), page.Events[1].Stored, "server and client compute the same block hashes")
 	page, err = c.CacheEvents(ctx, target, 0, 1)
 	require.NoError(t, err)
-	require.Equal(t, uint64(3), page.Events[0].Sequence, "the newest ones come")
+	require.Equal(t, uint64(3), page.Events[0].Sequence, "the newest events are returned")
 	require.Positive(t, page.Bytes)
 
 	require.NoError(t, c.Cancel(ctx, target, "unknown"))
@@ -179,7 +179,8 @@
 	require.Equal(t, "cache", string(data))
 }
 
-// FuzzStream feeds any bytes as a stream: the client must end with the end mark or an error, and never go on for good.
+// FuzzStream feeds arbitrary bytes as a stream: the client must stop with the end marker or an error and never loop
+// forever.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: {\"id\":\"x\",\"choices\":[]}\n\ndata: {\"id\":\"y\"}\n\n"))
--- a/pkg/engine/openai/sent_test.go
+++ b/pkg/engine/openai/sent_test.go
@@ -23,7 +23,7 @@
 
 var errDial = errors.New("dial")
 
-// service calls a plain service.
+// service returns a call to a plain HTTP service.
 func service(method string, body string) engine.Call {
 	return engine.Call{AttemptID: "a-1", Operation: engine.HTTP, Method: method, Path: "/book", Body: []byte(body)}
 }
@@ -42,7 +42,7 @@
 	return c
 }
 
-// wire is a connection that fails as told and counts what was written.
+// wire is a connection that fails writes beyond limit bytes and counts the bytes written.
 type wire struct {
 	net.Conn
 	limit   int
@@ -58,14 +58,14 @@
 	return w.Conn.Write(p)
 }
 
-func TestSentIsFalseOnlyWhenNothingLeft(t *testing.T) {
+func TestSentIsFalseOnlyWhenNothingWritten(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s"})
 	for _, tc := range []struct {
 		name string
 		dial func(written *atomic.Int64) func(context.Context, string, string) (net.Conn, error)
 		kind engine.Kind
 		sent bool
-		// connect is the connect timeout; 0 takes the client's own.
+		// connect is the connect timeout; 0 uses the default.
 		connect time.Duration
 	}{
 		{"refused", func(*atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
@@ -93,7 +93,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var written atomic.Int64
 			c := newClient(t, openai.Options{ConnectTimeout: tc.connect, Dial: tc.dial(&written)})
-			// The connection carries the call's bytes alone.
+			// Without the incarnation capability, the call's bytes are the only ones on the connection.
 			target := s.Target()
 			target.Capabilities = []string{openai.CapabilityAttemptID}
 			_, err := c.Call(t.Context(), target, service(http.MethodPost, "book"))
@@ -106,7 +106,8 @@
 	require.Empty(t, s.Records())
 }
 
-// TestNothingIsWrittenAfterNotSent ends calls at random points and checks that a call said not to be sent never arrives.
+// TestNothingIsWrittenAfterNotSent cancels calls at varying times and checks that a call reported as not sent never
+// reaches the server.
 func TestNothingIsWrittenAfterNotSent(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s"})
 	c := newClient(t, openai.Options{})
@@ -123,12 +124,12 @@
 	}
 	require.NotEmpty(t, notSent)
 	for _, r := range s.Records() {
-		require.False(t, notSent[r.Attempt], "ran though said not to be sent")
+		require.False(t, notSent[r.Attempt], "call ran although it was reported as not sent")
 	}
 }
 
-// TestBrokenConnectionIsNotReplayed breaks a kept connection after it took a call: the transport must not send it
-// again by itself, whatever the method.
+// TestBrokenConnectionIsNotReplayed breaks a reused connection after the server received a call. http.Transport must
+// not resend the call on its own, whatever its method.
 func TestBrokenConnectionIsNotReplayed(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete} {
 		t.Run(method, func(t *testing.T) {
@@ -152,7 +153,7 @@
 	}
 }
 
-func TestOldConnectionIsNotUsedAgain(t *testing.T) {
+func TestOldConnectionIsNotReused(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s"})
 	var dials atomic.Int64
 	c := newClient(t, openai.Options{
@@ -164,14 +165,14 @@
 	})
 	for range 3 {
 		_, err := c.Call(t.Context(), s.Target(), service(http.MethodPost, "book"))
-		// Every connection is above this age, a new one too, so the call fails unsent.
+		// Even a new connection exceeds this maximum age, so the call fails without being sent.
 		require.False(t, errorOf(t, err).Sent)
 	}
 	require.Empty(t, s.Records())
 	require.Greater(t, dials.Load(), int64(3))
 }
 
-// pipes is a network in memory, whose waits virtual time can pass over.
+// pipes is an in-memory listener and dialer, so that waits on it let the virtual time of synctest advance.
 type pipes chan net.Conn
 
 func (p pipes) Accept() (net.Conn, error) {
@@ -219,7 +220,7 @@
 
 		st, err := c.Stream(t.Context(), target, chat("q"))
 		require.NoError(t, err)
-		time.Sleep(time.Minute) // the reader is slow, not the server
+		time.Sleep(time.Minute) // a slow reader must not trigger the progress timeout
 		ev, err := st.Next(t.Context())
 		require.NoError(t, err)
 		require.Equal(t, "a", ev.Text)
@@ -233,7 +234,7 @@
 	})
 }
 
-func TestProbeTellsTheKindsOfDeathApart(t *testing.T) {
+func TestProbeErrorKinds(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s"})
 	c := newClient(t, openai.Options{ProgressTimeout: 50 * time.Millisecond})
 	target := s.Target()
@@ -241,16 +242,16 @@
 	s.Crash()
 	require.Equal(t, engine.Refused, errorOf(t, c.Probe(t.Context(), target)).Kind)
 	require.NoError(t, s.Start())
-	require.Equal(t, engine.Crashed, errorOf(t, c.Probe(t.Context(), target)).Kind, "another incarnation")
+	require.Equal(t, engine.Crashed, errorOf(t, c.Probe(t.Context(), target)).Kind, "server restarted as another incarnation")
 
-	deaf, err := net.Listen("tcp", "127.0.0.1:0")
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = deaf.Close() }()
-	target.Address = deaf.Addr().String()
+	defer func() { _ = silent.Close() }()
+	target.Address = silent.Addr().String()
 	require.Equal(t, engine.Silent, errorOf(t, c.Probe(t.Context(), target)).Kind)
 }
 
-func TestCloseDelimitedBodyIsNotTakenForWhole(t *testing.T) {
+func TestTruncatedCloseDelimitedBody(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
--- a/pkg/engine/openai/stream.go
+++ b/pkg/engine/openai/stream.go
@@ -12,7 +12,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// maxEventLine bounds one line of a stream in bytes.
+// maxEventLine is the maximum size in bytes of a line, and of an event's data, in a stream.
 const maxEventLine = 1 << 20
 
 // Stream implements engine.Client.
@@ -27,7 +27,7 @@
 		from, err := strconv.Atoi(h)
 		if err != nil || from < 0 || from > call.ResumeFrom {
 			x.finish()
-			return nil, x.wrong(engine.Crossed, fmt.Errorf("resumed from %q, asked for %d", h, call.ResumeFrom))
+			return nil, x.wrong(engine.Crossed, fmt.Errorf("server resumed from token %q, expected at most %d", h, call.ResumeFrom))
 		}
 		s.next = from
 	}
@@ -38,15 +38,16 @@
 type stream struct {
 	x     *exchange
 	lines *bufio.Scanner
-	// id is the completion ID that all chunks must share.
+	// id is the completion ID of the first chunk that has one; later chunks must have the same.
 	id string
-	// next is the index of the next token of a server that gives none.
+	// next is the index of the next token if the server sends no index.
 	next  int
 	ended bool
 	err   error
 }
 
-// Next implements engine.Stream. A token that comes twice is returned twice, with its own index.
+// Next implements engine.Stream. A token that the server sends twice is returned twice, each time with the
+// index that the server sent.
 func (s *stream) Next(ctx context.Context) (engine.Event, error) {
 	if s.ended {
 		return engine.Event{}, io.EOF
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// read returns the next event that holds a token, a finish reason, usage or the end mark.
+// read returns the next event that has text, a finish reason, usage or the end marker.
 func (s *stream) read() (engine.Event, error) {
 	for {
 		data, err := s.data()
@@ -101,7 +102,7 @@
 
 func (s *stream) checkID(c chunk) error {
 	if c.Daisyhatch != nil && c.Daisyhatch.Attempt != "" && c.Daisyhatch.Attempt != s.x.call.AttemptID {
-		return s.x.wrong(engine.Crossed, fmt.Errorf("event of attempt %q", c.Daisyhatch.Attempt))
+		return s.x.wrong(engine.Crossed, fmt.Errorf("event belongs to attempt %q", c.Daisyhatch.Attempt))
 	}
 	if c.ID == "" {
 		return nil
@@ -110,12 +111,12 @@
 		s.id = c.ID
 	}
 	if c.ID != s.id {
-		return s.x.wrong(engine.Crossed, fmt.Errorf("event of completion %q in that of %q", c.ID, s.id))
+		return s.x.wrong(engine.Crossed, fmt.Errorf("event belongs to completion %q, expected %q", c.ID, s.id))
 	}
 	return nil
 }
 
-// event turns a chunk into an event; ok is false when the chunk says nothing of use.
+// event converts a chunk to an event; ok is false when the chunk has no text, finish reason or usage.
 func (s *stream) event(c chunk) (ev engine.Event, ok bool) {
 	ev = engine.Event{AttemptID: s.x.call.AttemptID, Index: s.next}
 	if c.Usage != nil {
--- a/pkg/engine/openai/wire.go
+++ b/pkg/engine/openai/wire.go
@@ -8,15 +8,16 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// extraKey names the extra object in bodies and chunks.
+// extraKey is the JSON key of the Extra object in bodies and chunks.
 const extraKey = "daisyhatch"
 
-// Extra is the extra object that daisyhatch adds to the protocol.
+// Extra is the object that daisyhatch adds to the protocol's bodies and chunks.
 type Extra struct {
-	// Attempt and Index stand in the chunks of a stream.
+	// Attempt and Index are set in the chunks of a stream: the attempt ID and the token's position.
 	Attempt string `json:"attempt,omitempty"`
 	Index   *int   `json:"index,omitempty"`
-	// ResumeFrom and ResumeText stand in the body of a call that resumes a stream.
+	// ResumeFrom and ResumeText are set in the body of a call that resumes a stream: the number of tokens that the
+	// caller already has and their text.
 	ResumeFrom int    `json:"resume_from,omitempty"`
 	ResumeText string `json:"resume_text,omitempty"`
 }
@@ -52,10 +53,10 @@
 	Daisyhatch *Extra          `json:"daisyhatch"`
 }
 
-// endOfStream is the data of the protocol's end mark.
+// endOfStream is the data of the event that ends a stream.
 var endOfStream = []byte("[DONE]")
 
-// decodeChunk decodes the data of one server-sent event. end is true for the end mark.
+// decodeChunk decodes the data of one server-sent event. end is true for the end marker.
 func decodeChunk(data []byte) (c chunk, end bool, err error) {
 	data = bytes.TrimSpace(data)
 	if bytes.Equal(data, endOfStream) {
@@ -65,7 +66,7 @@
 		return chunk{}, false, fmt.Errorf("decode chunk: %w", err)
 	}
 	if len(c.Error) > 0 && !bytes.Equal(c.Error, []byte("null")) {
-		return chunk{}, false, fmt.Errorf("server reports %.200s", c.Error)
+		return chunk{}, false, fmt.Errorf("server reported an error: %.200s", c.Error)
 	}
 	return c, false, nil
 }
--- a/pkg/engine/prefix.go
+++ b/pkg/engine/prefix.go
@@ -2,17 +2,17 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Bounds of prefix blocks.
+// Limits of prefix hashing.
 const (
 	// PrefixBlock is the length of one prefix block in bytes.
 	PrefixBlock = 1024
-	// MaxPrefixBlocks bounds how many blocks of one prompt are named.
+	// MaxPrefixBlocks is the maximum number of blocks that are hashed per prompt.
 	MaxPrefixBlocks = 32
 )
 
-// PrefixBlocks names the prefixes of a call's body that end at block borders, shortest first: each name is the XXH64
-// hash, with seed 0, of all bytes up to its border. Servers with CapabilityCacheEvents name the blocks of their prompt
-// cache in the same way. What is left after the last whole block has no name.
+// PrefixBlocks returns the hashes of the prefixes of body that end at block boundaries, shortest first. Each hash is
+// the XXH64, with seed 0, of all bytes up to the boundary. Servers with CapabilityCacheEvents identify the blocks of
+// their prompt cache by the same hashes. An incomplete last block is not hashed.
 func PrefixBlocks(body []byte) []uint64 {
 	n := min(len(body)/PrefixBlock, MaxPrefixBlocks)
 	if n == 0 {
