--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -1,6 +1,7 @@
-// Package ledger decides which request may run under which idempotency key. A claim is granted once; from then on
-// its key answers with the claim's state until its retention ends, and after that the key is refused. It is pure
-// and deterministic; all times are replicated time in Unix milliseconds.
+// Package ledger implements the replicated state of idempotency keys. The first claim of a key is granted. Later claims
+// of it return the state of the first until its retention ends; after that, a key with a known creation time is refused
+// as expired, and any other key may be granted again. The package is deterministic and does no I/O; all times are
+// replicated time in Unix milliseconds.
 package ledger
 
 import (
@@ -17,45 +18,48 @@
 
 // Errors of this package.
 var (
-	// ErrCommand means that a command is malformed; nothing was changed.
+	// ErrCommand means that a command is malformed and was not applied.
 	ErrCommand = errors.New("ledger: malformed command")
-	// ErrSnapshot means that a snapshot contradicts itself.
+	// ErrSnapshot means that a snapshot is inconsistent or has more than MaxClaims claims.
 	ErrSnapshot = errors.New("ledger: bad snapshot")
 )
 
-// Limits and times of the state. Times are in milliseconds.
+// Limits of the ledger. Durations are in milliseconds.
 const (
-	// MaxClaims is the count of claims kept.
+	// MaxClaims is the maximum number of claims kept.
 	MaxClaims = 65_536
-	// MaxBody is the size in bytes of the largest answer kept.
+	// MaxBody is the size in bytes of the largest response body that is stored.
 	MaxBody = 64 << 10
-	// MaxBodies is the size in bytes of all kept answers; beyond it the oldest ones lose their body.
+	// MaxBodies is the total size in bytes of the stored response bodies. Above it, the oldest bodies are dropped and
+	// their outcomes kept.
 	MaxBodies = 4 << 20
-	// RetentionMs is how long a claim is kept while there is room.
+	// RetentionMs is how long a claim is kept while the ledger is not full.
 	RetentionMs = 24 * 60 * 60 * 1000
-	// MinRetentionMs is how long a claim with a known time of creation is kept when the ledger is full.
+	// MinRetentionMs is how long a claim whose key has a known creation time is kept at least when the ledger is full.
 	MinRetentionMs = 5 * 60 * 1000
-	// ClockSlackMs is how far a caller's clock may be ahead for its keys' times of creation to count.
+	// ClockSlackMs is how far a key's creation time may lie in the future, for callers whose clocks are ahead. Times
+	// beyond it are ignored.
 	ClockSlackMs = 60 * 1000
-	// MaxRunMs caps the time from a claim to its holder's deadline.
+	// MaxRunMs is the longest time from a claim to its holder's deadline.
 	MaxRunMs = 60 * 60 * 1000
-	// MinRunMs is the least time that a holder is given, for entry VMs whose clocks are behind.
+	// MinRunMs is the shortest time from a claim to its holder's deadline, for entry VMs whose clocks are behind.
 	MinRunMs = 1000
-	// DeadlineMarginMs is waited after the holder's deadline before the outcome counts as unknown.
+	// DeadlineMarginMs is the time after the holder's deadline until a pending outcome is reported as unknown.
 	DeadlineMarginMs = 2000
-	// MaxKey, MaxOrganisation and MaxName are sizes in bytes.
+	// MaxKey, MaxOrganisation and MaxName are maximum lengths in bytes; MaxName applies to holder, incarnation and
+	// attempt.
 	MaxKey          = 256
 	MaxOrganisation = 128
 	MaxName         = 128
 )
 
-// Key names a claim.
+// Key identifies a claim: an idempotency key within an organisation.
 type Key struct {
 	Organisation string
 	Key          string
 }
 
-// id stands for a Key in the state, to keep claims small.
+// id is a truncated SHA-256 hash of a Key, which is stored instead of the Key to keep claims small.
 type id [16]byte
 
 func (k Key) id() id {
@@ -66,27 +70,36 @@
 	return id(h.Sum(nil)[:len(id{})])
 }
 
+// claim is a recorded claim. Its times are in Unix milliseconds.
 type claim struct {
-	id         id
-	bodyHash   uint64
-	process    *process
-	attempt    uint64
-	deadline   int64
-	created    int64
-	accepted   int64
-	state      daisyhatchv1.ClaimState
-	outcome    *outcome
+	id       id
+	bodyHash uint64
+	process  *process
+	// attempt is the XXH64 hash of the holder's attempt ID.
+	attempt uint64
+	// deadline is the time after which a pending claim is reported as unknown.
+	deadline int64
+	// created is the creation time of the key; 0 if unknown.
+	created int64
+	// accepted is the time of the claim.
+	accepted int64
+	state    daisyhatchv1.ClaimState
+	outcome  *outcome
+	// bodyNumber orders the stored bodies by completion; 0 if no body is stored.
 	bodyNumber uint64
-	position   *list.Element
-	body       *list.Element
+	// position is the claim's element in Ledger.timed or Ledger.untimed.
+	position *list.Element
+	// body is the claim's element in Ledger.bodies; nil if no body is stored.
+	body *list.Element
 }
 
-// process is one incarnation of an entry VM with claims in the ledger.
+// process is one incarnation of an entry VM that holds claims in the ledger.
 type process struct {
 	holder      string
 	incarnation string
-	// latest is true for the incarnation of the holder that claimed last.
+	// latest is true if the holder made its last claim in this incarnation.
 	latest bool
+	// claims is the number of recorded claims.
 	claims int
 }
 
@@ -95,18 +108,23 @@
 	incarnation string
 }
 
-// Ledger holds the claims. It isn't safe for concurrent use.
+// Ledger is the state of all recorded claims. It isn't safe for concurrent use.
 type Ledger struct {
 	claims    map[id]*claim
 	processes map[processKey]*process
-	// timed holds the claims whose time of creation is known, untimed the others; both by acceptance.
+	// timed lists the claims whose keys have a known creation time, untimed the others; both in the order in which the
+	// claims were accepted.
 	timed, untimed *list.List
-	// bodies holds the claims with a stored body, by completion.
-	bodies     *list.List
-	bodyBytes  int
+	// bodies lists the claims with a stored body, in the order in which they were completed.
+	bodies *list.List
+	// bodyBytes is the total size of the stored bodies in bytes.
+	bodyBytes int
+	// bodyNumber is the number of the body stored last.
 	bodyNumber uint64
-	watermark  int64
-	// contentTypes holds one copy of each common content type.
+	// watermark is the latest creation time, in Unix milliseconds, among the keys that were dropped early to make room.
+	// An unrecorded key created at or before it may be one of them and is refused as expired.
+	watermark int64
+	// contentTypes interns content types, so that claims share one copy of each.
 	contentTypes map[string]string
 	maxClaims    int
 	maxBodies    int
@@ -127,7 +145,8 @@
 	}
 }
 
-// Claim applies a claim at time nowMs. It returns ErrCommand for a malformed command.
+// Claim applies a claim at time nowMs. A repeated claim by the same holder, incarnation and attempt is granted again
+// while it is pending. It returns ErrCommand for a malformed command.
 func (l *Ledger) Claim(c *daisyhatchv1.ClaimCommand, nowMs int64) (*daisyhatchv1.ClaimResult, error) {
 	if err := checkClaim(c); err != nil {
 		return nil, err
@@ -148,7 +167,7 @@
 	return &daisyhatchv1.ClaimResult{State: daisyhatchv1.ClaimState_CLAIM_STATE_GRANTED, Holder: c.GetHolder()}, nil
 }
 
-// again answers a claim of a key that is recorded.
+// again returns the result of claiming a key that is already recorded.
 func again(old *claim, c *daisyhatchv1.ClaimCommand, nowMs int64) *daisyhatchv1.ClaimResult {
 	if old.bodyHash != c.GetBodyHash() {
 		return &daisyhatchv1.ClaimResult{State: daisyhatchv1.ClaimState_CLAIM_STATE_KEY_REUSED}
@@ -161,8 +180,8 @@
 	return r
 }
 
-// answer returns the claim's state at time nowMs. A claim whose holder is gone is answered UNKNOWN for good, unless
-// the holder turns up with the outcome after all.
+// answer returns the claim's state at time nowMs. A pending claim is reported as unknown once its deadline has passed
+// or its holder has made a claim in another incarnation. The holder may still complete it after that.
 func (c *claim) answer(nowMs int64) *daisyhatchv1.ClaimResult {
 	r := &daisyhatchv1.ClaimResult{State: c.state, Holder: c.process.holder}
 	switch c.state {
@@ -181,13 +200,13 @@
 	return p.holder == holder && p.incarnation == incarnation && c.attempt == xxhash.Sum64String(attempt)
 }
 
-// forgotten reports whether the claim of an unrecorded key may have been recorded once.
+// forgotten reports whether an unrecorded key may have had a claim that was dropped since.
 func (l *Ledger) forgotten(c *daisyhatchv1.ClaimCommand, nowMs int64) bool {
 	created := createdMs(c, nowMs)
 	return created != 0 && (created <= l.watermark || created <= nowMs-RetentionMs+ClockSlackMs)
 }
 
-// createdMs returns when the key was made; 0 when that isn't told or is ahead of the system's clock.
+// createdMs returns the creation time of the claimed key; 0 if it is not set or more than ClockSlackMs after nowMs.
 func createdMs(c *daisyhatchv1.ClaimCommand, nowMs int64) int64 {
 	if t := c.GetCreatedUnixMs(); t > 0 && t <= nowMs+ClockSlackMs {
 		return t
@@ -210,7 +229,7 @@
 	l.hear(c.GetHolder(), c.GetIncarnation())
 }
 
-// hear notes the latest incarnation of a holder. Only few incarnations have claims at once.
+// hear marks the latest incarnation of a holder. It scans all processes, since only a few hold claims at any time.
 func (l *Ledger) hear(holder, incarnation string) {
 	if p, ok := l.processes[processKey{holder, incarnation}]; ok && p.latest {
 		return
@@ -256,8 +275,9 @@
 	}
 }
 
-// makeRoom reports whether one more claim fits, after dropping the oldest ones that are past the least retention
-// and whose keys can be told from new ones by their time of creation.
+// makeRoom drops the oldest claims if the ledger is full, and reports whether one more claim fits. It drops only claims
+// that are not pending, are older than MinRetentionMs and whose keys have a known creation time: the watermark tells
+// those keys from new ones.
 func (l *Ledger) makeRoom(nowMs int64) bool {
 	for len(l.claims) >= l.maxClaims {
 		front := l.timed.Front()
@@ -275,7 +295,7 @@
 	return true
 }
 
-// Expire drops the claims whose retention ended by nowMs.
+// Expire drops the claims whose retention has ended at nowMs.
 func (l *Ledger) Expire(nowMs int64) {
 	for _, q := range []*list.List{l.timed, l.untimed} {
 		for e := q.Front(); e != nil && e.Value.(*claim).accepted+RetentionMs <= nowMs; e = q.Front() {
@@ -284,11 +304,12 @@
 	}
 }
 
-// Complete applies the end of a claim. It stores nothing when the claim is not the holder's. It returns ErrCommand
-// for a malformed command.
+// Complete records the end of a claim: its outcome, that the outcome is unknown, or that the request did not run, which
+// removes the claim. It changes nothing if the claim belongs to another holder, incarnation or attempt. It returns
+// ErrCommand for a malformed command.
 func (l *Ledger) Complete(c *daisyhatchv1.CompleteCommand, nowMs int64) (*daisyhatchv1.CompleteResult, error) {
 	if c.GetNotRun() && (c.GetUnknown() || c.GetOutcome() != nil) {
-		return nil, fmt.Errorf("%w: not run and an outcome at once", ErrCommand)
+		return nil, fmt.Errorf("%w: not_run is set together with unknown or an outcome", ErrCommand)
 	}
 	l.Expire(nowMs)
 	old, ok := l.claims[Key{c.GetOrganisation(), c.GetKey()}.id()]
@@ -347,7 +368,7 @@
 	c.outcome.body = nil
 }
 
-// Lookup returns a claim's state at time nowMs; nil when the key is not recorded.
+// Lookup returns a claim's state at time nowMs; nil if the key is not recorded.
 func (l *Ledger) Lookup(k Key, nowMs int64) *daisyhatchv1.ClaimResult {
 	c, ok := l.claims[k.id()]
 	if !ok {
@@ -356,22 +377,22 @@
 	return c.answer(nowMs)
 }
 
-// Len returns the count of claims kept.
+// Len returns the number of recorded claims.
 func (l *Ledger) Len() int { return len(l.claims) }
 
-// BodyBytes returns the size of all kept answers in bytes.
+// BodyBytes returns the total size of the stored response bodies in bytes.
 func (l *Ledger) BodyBytes() int { return l.bodyBytes }
 
 func checkClaim(c *daisyhatchv1.ClaimCommand) error {
 	switch {
 	case c.GetOrganisation() == "" || len(c.GetOrganisation()) > MaxOrganisation:
-		return fmt.Errorf("%w: the organisation must have 1 to %d bytes", ErrCommand, MaxOrganisation)
+		return fmt.Errorf("%w: organisation must have 1 to %d bytes", ErrCommand, MaxOrganisation)
 	case c.GetKey() == "" || len(c.GetKey()) > MaxKey:
-		return fmt.Errorf("%w: the key must have 1 to %d bytes", ErrCommand, MaxKey)
+		return fmt.Errorf("%w: key must have 1 to %d bytes", ErrCommand, MaxKey)
 	case c.GetHolder() == "" || c.GetIncarnation() == "" || c.GetAttempt() == "":
 		return fmt.Errorf("%w: holder, incarnation and attempt must be set", ErrCommand)
 	case len(c.GetHolder()) > MaxName || len(c.GetIncarnation()) > MaxName || len(c.GetAttempt()) > MaxName:
-		return fmt.Errorf("%w: holder, incarnation and attempt have at most %d bytes", ErrCommand, MaxName)
+		return fmt.Errorf("%w: holder, incarnation and attempt must have at most %d bytes", ErrCommand, MaxName)
 	}
 	return nil
 }
--- a/pkg/ledger/ledger_test.go
+++ b/pkg/ledger/ledger_test.go
@@ -13,7 +13,7 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict. A seed on the command line stands.
+// TestMain sets a fixed default seed for rapid, so that runs are reproducible. A seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261204"); err != nil {
 		panic(err)
@@ -37,24 +37,26 @@
 	maxBodies = 30
 )
 
-// run is one grant of a key, as an oracle that never forgets keeps it.
+// run is the oracle's record of one granted claim.
 type run struct {
 	claim    *daisyhatchv1.ClaimCommand
 	accepted int64
 	timed    bool
 	state    daisyhatchv1.ClaimState
 	outcome  []byte
-	// doubted is true once another incarnation of the holder was heard.
+	// doubted is true once another incarnation of the holder has made a claim.
 	doubted bool
 }
 
+// oracle is a reference model of the ledger that never drops a claim.
 type oracle struct {
-	runs    map[Key]*run
+	runs map[Key]*run
+	// process is the latest incarnation of each holder.
 	process map[string]string
 	now     int64
 }
 
-// expect returns the state that a recorded key must be answered with.
+// expect returns the state that the ledger must return for claim c of a recorded key.
 func (o *oracle) expect(r *run, c *daisyhatchv1.ClaimCommand) daisyhatchv1.ClaimState {
 	if r.claim.GetBodyHash() != c.GetBodyHash() {
 		return reused
@@ -72,7 +74,7 @@
 	return pending
 }
 
-// running reports whether a run's holder may still be at it.
+// running reports whether a run's holder may still be running the request.
 func (o *oracle) running(r *run) bool { return !r.doubted && o.expect(r, r.claim) == granted }
 
 func (o *oracle) hear(holder, process string) {
@@ -105,7 +107,7 @@
 		}
 	case got.GetState() == granted && old != nil && o.expect(old, c) == granted && recorded && l.claims[k.id()].accepted == old.accepted:
 	case got.GetState() == granted:
-		require.False(t, old != nil && (old.timed || age < RetentionMs), "key %v ran twice", k)
+		require.False(t, old != nil && (old.timed || age < RetentionMs), "key %v was granted twice", k)
 		created := c.GetCreatedUnixMs()
 		o.runs[k] = &run{claim: c, accepted: o.now, timed: created > 0 && created <= o.now+ClockSlackMs, state: pending}
 	case got.GetState() == full:
@@ -114,7 +116,7 @@
 		require.Positive(t, c.GetCreatedUnixMs())
 		require.LessOrEqual(t, c.GetCreatedUnixMs(), o.now-MinRetentionMs+ClockSlackMs)
 	default:
-		require.Fail(t, "unexpected state", "%v for key %v", got.GetState(), k)
+		require.Fail(t, "unexpected state", "state %v for key %v", got.GetState(), k)
 	}
 }
 
@@ -126,15 +128,15 @@
 	own := r != nil && r.claim.GetHolder() == c.GetHolder() && r.claim.GetIncarnation() == c.GetIncarnation() &&
 		r.claim.GetAttempt() == c.GetAttempt()
 	if !own {
-		require.False(t, got.GetStored(), "another holder ended the claim")
+		require.False(t, got.GetStored(), "claim was completed by another holder")
 	}
 	if !got.GetStored() {
-		require.False(t, own && r.state == pending && o.now-r.accepted < MinRetentionMs, "the holder's end was not stored")
+		require.False(t, own && r.state == pending && o.now-r.accepted < MinRetentionMs, "completion by the holder was not stored")
 		return
 	}
 	switch {
 	case c.GetNotRun():
-		require.Equal(t, pending, r.state, "a claim that ended was removed")
+		require.Equal(t, pending, r.state, "a completed claim was removed")
 		delete(o.runs, k)
 	case r.state == done:
 	case c.GetUnknown():
@@ -156,7 +158,7 @@
 		Attempt:        fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "attempt")),
 		DeadlineUnixMs: o.now + rapid.SampledFrom([]int64{-9000, 0, 5000, 10 * MaxRunMs}).Draw(t, "deadline"),
 	}
-	// Odd keys tell when they were made; a resend tells the same time.
+	// Odd keys have a creation time, which stays the same when the claim is repeated.
 	if k%2 == 1 {
 		c.CreatedUnixMs = max(1, o.now-rapid.SampledFrom([]int64{0, 1000, MinRetentionMs, -MinRunMs}).Draw(t, "age"))
 		if old := o.runs[Key{"org", c.GetKey()}]; old != nil {
@@ -190,8 +192,9 @@
 	return c
 }
 
-// Claims and ends from several VMs, restarts, forgetting: no key is granted twice while its time of creation is known
-// or its retention lasts, and recorded keys are answered as by an oracle that never forgets.
+// TestAgainstOracle compares the ledger with a reference model under random claims and completions from several VMs,
+// restarts of holders, snapshot restores and dropped claims. No key may be granted twice within its retention, or ever
+// if its creation time is known, and recorded keys must have the state that the model expects.
 func TestAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := small(New())
@@ -233,7 +236,7 @@
 	return small(n)
 }
 
-func TestLargeAnswerIsOmitted(t *testing.T) {
+func TestLargeBodyIsOmitted(t *testing.T) {
 	l := New()
 	c := &daisyhatchv1.ClaimCommand{Organisation: "o", Key: "k", Holder: "e", Incarnation: "1", Attempt: "a"}
 	_, err := l.Claim(c, 1)
--- a/pkg/ledger/outcome.go
+++ b/pkg/ledger/outcome.go
@@ -7,10 +7,10 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// maxContentTypes is the count of content types that claims share one copy of.
+// maxContentTypes is the maximum number of interned content types.
 const maxContentTypes = 64
 
-// outcome is a stored answer, smaller than its message.
+// outcome is a stored response. It takes less memory than its protobuf message.
 type outcome struct {
 	status      int32
 	omitted     bool
@@ -27,6 +27,7 @@
 	}
 }
 
+// contentType returns the interned copy of s.
 func (l *Ledger) contentType(s string) string {
 	if known, ok := l.contentTypes[s]; ok {
 		return known
--- a/pkg/ledger/snapshot.go
+++ b/pkg/ledger/snapshot.go
@@ -8,7 +8,8 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// Snapshot returns the state. The caller must encode it before the next command.
+// Snapshot returns the state as a message. The message shares memory with the ledger, so the caller must encode it
+// before the next command.
 func (l *Ledger) Snapshot() *daisyhatchv1.LedgerSnapshot {
 	s := &daisyhatchv1.LedgerSnapshot{WatermarkUnixMs: l.watermark, BodySequence: l.bodyNumber}
 	places := make(map[*process]uint32, len(l.processes))
@@ -53,13 +54,13 @@
 	}
 }
 
-// Restore returns the Ledger of a snapshot. It returns ErrSnapshot when the snapshot contradicts itself.
+// Restore builds a Ledger from a snapshot. It returns ErrSnapshot if the snapshot is inconsistent.
 func Restore(s *daisyhatchv1.LedgerSnapshot) (*Ledger, error) {
 	l := New()
 	l.watermark = s.GetWatermarkUnixMs()
 	l.bodyNumber = s.GetBodySequence()
 	if len(s.GetClaims()) > MaxClaims {
-		return nil, fmt.Errorf("%w: %d claims", ErrSnapshot, len(s.GetClaims()))
+		return nil, fmt.Errorf("%w: %d claims exceed the limit", ErrSnapshot, len(s.GetClaims()))
 	}
 	processes := make([]*process, len(s.GetProcesses()))
 	for i, p := range s.GetProcesses() {
@@ -84,11 +85,11 @@
 
 func (l *Ledger) restoreClaim(r *daisyhatchv1.ClaimRecord, processes []*process) error {
 	if len(r.GetId()) != len(id{}) || int(r.GetProcess()) >= len(processes) {
-		return fmt.Errorf("%w: a claim without ID or process", ErrSnapshot)
+		return fmt.Errorf("%w: claim with invalid ID or process index", ErrSnapshot)
 	}
 	key := id(r.GetId())
 	if _, ok := l.claims[key]; ok {
-		return fmt.Errorf("%w: a key twice", ErrSnapshot)
+		return fmt.Errorf("%w: duplicate claim ID", ErrSnapshot)
 	}
 	c := &claim{
 		id:       key,
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// restoreBodies puts the stored answers in the order of their completion.
+// restoreBodies adds the claims with a stored body to l.bodies in the order of their completion.
 func (l *Ledger) restoreBodies(claims []*daisyhatchv1.ClaimRecord) error {
 	var withBody []*daisyhatchv1.ClaimRecord
 	for _, r := range claims {
@@ -120,7 +121,7 @@
 	for _, r := range withBody {
 		c := l.claims[id(r.GetId())]
 		if c.outcome == nil {
-			return fmt.Errorf("%w: a body without outcome", ErrSnapshot)
+			return fmt.Errorf("%w: body sequence without outcome", ErrSnapshot)
 		}
 		l.keepBody(c, r.GetBodySequence())
 	}
