--- a/pkg/engine/openai/call.go
+++ b/pkg/engine/openai/call.go
@@ -19,8 +19,8 @@
 	"github.com/daisyhatch/daisyhatch/pkg/holdoff"
 )
 
-// errProgress is the cancellation cause when the server sends no data within the progress timeout.
-var errProgress = errors.New("openai: no progress")
+// errProgressTimeout is the cancellation cause when the server sends no data within the progress timeout.
+var errProgressTimeout = errors.New("openai: no data within the progress timeout")
 
 // maxErrorBody is the number of bytes kept of an error response's body.
 const maxErrorBody = 8 << 10
@@ -32,11 +32,11 @@
 		return engine.Answer{}, err
 	}
 	defer x.finish()
-	body, err := x.readAll(c.maxAnswer(call))
+	body, err := x.readAll(c.maxResponseBytes(call))
 	if err != nil {
-		return engine.Answer{}, x.fail(err)
+		return engine.Answer{}, x.transportError(err)
 	}
-	if err := x.checkWhole(body); err != nil {
+	if err := x.checkComplete(body); err != nil {
 		return engine.Answer{}, err
 	}
 	return engine.Answer{
@@ -45,11 +45,11 @@
 		ContentType: x.resp.Header.Get("Content-Type"),
 		Body:        body,
 		Usage:       usageOf(body, call.Operation),
-		FirstByte:   x.sending.firstByte(),
+		FirstByte:   x.tracker.firstByte(),
 	}, nil
 }
 
-func (c *Client) maxAnswer(call engine.Call) int64 {
+func (c *Client) maxResponseBytes(call engine.Call) int64 {
 	if call.MaxAnswer > 0 {
 		return call.MaxAnswer
 	}
@@ -58,52 +58,52 @@
 
 // exchange is one HTTP request to a backend server and its response.
 type exchange struct {
-	target  engine.Target
-	call    engine.Call
-	resp    *http.Response
-	sending *sending
-	parent  context.Context
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	idle    *time.Timer
-	quiet   time.Duration
+	target          engine.Target
+	call            engine.Call
+	resp            *http.Response
+	tracker         *sendTracker
+	parent          context.Context
+	ctx             context.Context
+	cancel          context.CancelCauseFunc
+	progressTimer   *time.Timer
+	progressTimeout time.Duration
 }
 
 // start sends the call and waits for the response headers, which it checks. Errors are *engine.Error.
 func (c *Client) start(ctx context.Context, t engine.Target, call engine.Call, stream bool) (*exchange, error) {
-	x := &exchange{target: t, call: call, quiet: c.opts.ProgressTimeout}
+	x := &exchange{target: t, call: call, progressTimeout: c.opts.ProgressTimeout}
 	if call.ProgressTimeout > 0 {
-		x.quiet = call.ProgressTimeout
+		x.progressTimeout = call.ProgressTimeout
 	}
 	x.parent = ctx
 	x.ctx, x.cancel = context.WithCancelCause(ctx)
-	x.idle = time.AfterFunc(x.quiet, func() { x.cancel(errProgress) })
+	x.progressTimer = time.AfterFunc(x.progressTimeout, func() { x.cancel(errProgressTimeout) })
 	err := x.send(c, stream)
-	x.idle.Stop()
+	x.progressTimer.Stop()
 	if err != nil {
-		failure := x.fail(err)
+		failure := x.transportError(err)
 		x.finish()
 		return nil, failure
 	}
-	if err := x.checkHead(); err != nil {
+	if err := x.checkHeaders(); err != nil {
 		x.finish()
 		return nil, err
 	}
 	return x, nil
 }
 
-// maxUnfitConns is the maximum number of connections that one call discards because they are too old or lead to another
-// incarnation. Before the last try, all idle connections are closed.
-const maxUnfitConns = 4
+// maxDiscardedConns is the maximum number of connections that one call discards because they are too old or lead to
+// another incarnation. Before the last try, all idle connections are closed.
+const maxDiscardedConns = 4
 
 // send sends the request over a connection that is below the age limit and leads to the target's incarnation.
 func (x *exchange) send(c *Client, stream bool) error {
 	for try := 0; ; try++ {
-		x.sending = &sending{begun: time.Now(), maxAge: c.opts.MaxConnAge}
-		if tellsIncarnation(x.target) {
-			x.sending.incarnation = x.target.Incarnation
+		x.tracker = &sendTracker{startedAt: time.Now(), maxAge: c.opts.MaxConnAge}
+		if reportsIncarnation(x.target) {
+			x.tracker.incarnation = x.target.Incarnation
 		}
-		ctx := httptrace.WithClientTrace(withIdentify(x.ctx, x.target), x.sending.trace())
+		ctx := httptrace.WithClientTrace(withIdentify(x.ctx, x.target), x.tracker.trace())
 		req, err := newRequest(ctx, x.target, x.call, stream)
 		if err != nil {
 			return err
@@ -111,23 +111,23 @@
 		resp, err := c.clientFor(x.call).Do(req) //nolint:bodyclose // closed by finish
 		if err == nil {
 			x.resp = resp
-			c.noticed(x.target, resp)
+			c.reportNotice(x.target, resp)
 			return nil
 		}
-		if x.sending.wrongIncarnation() {
-			return fmt.Errorf("%w: %w", errIncarnation, err)
+		if x.tracker.wrongIncarnation() {
+			return fmt.Errorf("%w: %w", errWrongIncarnation, err)
 		}
-		if !x.sending.again() || try >= maxUnfitConns {
+		if !x.tracker.retryable() || try >= maxDiscardedConns {
 			return err
 		}
-		if try == maxUnfitConns-1 {
+		if try == maxDiscardedConns-1 {
 			c.http.CloseIdleConnections()
 		}
 	}
 }
 
-// noticed reports to Options.Noticed when a response says that its server is leaving or wants no calls for a time.
-func (c *Client) noticed(t engine.Target, resp *http.Response) {
+// reportNotice reports to Options.Noticed when a response says that its server is leaving or wants no calls for a time.
+func (c *Client) reportNotice(t engine.Target, resp *http.Response) {
 	n := holdoff.Parse(resp.StatusCode, resp.Header, HeaderLeaving)
 	if c.opts.Noticed != nil && !n.Empty() {
 		c.opts.Noticed(t, n)
@@ -137,14 +137,14 @@
 // clientFor returns the HTTP client for a call: the one without keep-alive if the call needs a new connection.
 func (c *Client) clientFor(call engine.Call) *http.Client {
 	if call.NewConnection {
-		return c.probe
+		return c.noKeepAlive
 	}
 	return c.http
 }
 
 // finish cancels the request and closes the response body.
 func (x *exchange) finish() {
-	x.idle.Stop()
+	x.progressTimer.Stop()
 	x.cancel(nil)
 	if x.resp != nil {
 		_ = x.resp.Body.Close()
@@ -154,17 +154,17 @@
 // Read reads the response body. The progress timeout runs only during a read, so that a slow reader is not mistaken for
 // a silent server.
 func (x *exchange) Read(p []byte) (int, error) {
-	x.idle.Reset(x.quiet)
+	x.progressTimer.Reset(x.progressTimeout)
 	n, err := x.resp.Body.Read(p)
-	x.idle.Stop()
+	x.progressTimer.Stop()
 	return n, err
 }
 
-// fail ends the call and converts a transport error to an *engine.Error.
-func (x *exchange) fail(err error) error {
-	e := &engine.Error{Server: x.target.Server, Err: err, Sent: x.sending.giveUp()}
+// transportError ends the call and converts a transport error to an *engine.Error.
+func (x *exchange) transportError(err error) error {
+	e := &engine.Error{Server: x.target.Server, Err: err, Sent: x.tracker.abandon()}
 	switch {
-	case errors.Is(context.Cause(x.ctx), errProgress):
+	case errors.Is(context.Cause(x.ctx), errProgressTimeout):
 		e.Kind = engine.Silent
 	case x.ctx.Err() != nil:
 		e.Kind = engine.Canceled
@@ -178,11 +178,11 @@
 	return e
 }
 
-// checkHead checks the response's attempt ID and status.
-func (x *exchange) checkHead() error {
+// checkHeaders checks the response's attempt ID and status.
+func (x *exchange) checkHeaders() error {
 	id := x.resp.Header.Get(HeaderAttempt)
-	if !x.ownID(id) {
-		return x.wrong(engine.Crossed, fmt.Errorf("response belongs to attempt %q", id))
+	if !x.acceptsAttemptID(id) {
+		return x.responseError(engine.Crossed, fmt.Errorf("response belongs to attempt %q", id))
 	}
 	if x.call.Operation == engine.HTTP && x.resp.StatusCode < http.StatusInternalServerError {
 		return nil
@@ -191,27 +191,27 @@
 		return nil
 	}
 	body, _ := io.ReadAll(io.LimitReader(x, maxErrorBody))
-	e := x.wrong(kindOf(x.resp.StatusCode), fmt.Errorf("status %d", x.resp.StatusCode))
+	e := x.responseError(kindOfStatus(x.resp.StatusCode), fmt.Errorf("status %d", x.resp.StatusCode))
 	e.Status = x.resp.StatusCode
 	e.Body = body
 	e.RetryAfter = holdoff.RetryAfter(x.resp.Header)
 	return e
 }
 
-// ownID reports whether id is an acceptable attempt ID for a response to this call. It may be missing unless the server
-// announced CapabilityAttemptID.
-func (x *exchange) ownID(id string) bool {
+// acceptsAttemptID reports whether id is an acceptable attempt ID for a response to this call. It may be missing
+// unless the server announced CapabilityAttemptID.
+func (x *exchange) acceptsAttemptID(id string) bool {
 	if id == "" {
 		return !slices.Contains(x.target.Capabilities, CapabilityAttemptID)
 	}
 	return id == x.call.AttemptID
 }
 
-func (x *exchange) wrong(k engine.Kind, err error) *engine.Error {
+func (x *exchange) responseError(k engine.Kind, err error) *engine.Error {
 	return &engine.Error{Kind: k, Server: x.target.Server, Sent: true, Err: err}
 }
 
-func kindOf(status int) engine.Kind {
+func kindOfStatus(status int) engine.Kind {
 	switch {
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable:
 		return engine.Overloaded
@@ -238,9 +238,9 @@
 	return buf.Bytes(), nil
 }
 
-// checkWhole checks that the body is complete. When the end of the connection delimits the body, only a valid
+// checkComplete checks that the body is complete. When the end of the connection delimits the body, only a valid
 // JSON value proves that; a delimited body of a plain HTTP service needs no further check.
-func (x *exchange) checkWhole(body []byte) error {
+func (x *exchange) checkComplete(body []byte) error {
 	delimited := x.resp.ContentLength >= 0 || len(x.resp.TransferEncoding) > 0
 	if delimited && x.call.Operation == engine.HTTP {
 		return nil
@@ -248,7 +248,7 @@
 	if json.Valid(body) {
 		return nil
 	}
-	return x.wrong(engine.Truncated, errors.New("response is not a complete JSON value"))
+	return x.responseError(engine.Truncated, errors.New("response is not a complete JSON value"))
 }
 
 func newRequest(ctx context.Context, t engine.Target, call engine.Call, stream bool) (*http.Request, error) {
@@ -274,7 +274,7 @@
 	if call.ResumeFrom > 0 {
 		body = withResume(body, call)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+t.Address+path, oneShot{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+t.Address+path, oneShotBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, fmt.Errorf("build request: %w", err)
 	}
@@ -335,13 +335,13 @@
 	return v.Usage.usage()
 }
 
-// refused reports whether err means that nothing listens at the address.
-func refused(err error) bool {
+// isRefused reports whether err means that nothing listens at the address.
+func isRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// timedOut reports whether err is a network timeout, for example while connecting.
-func timedOut(err error) bool {
+// isTimeout reports whether err is a network timeout, for example while connecting.
+func isTimeout(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) && n.Timeout()
 }
--- a/pkg/engine/openai/client.go
+++ b/pkg/engine/openai/client.go
@@ -66,7 +66,7 @@
 	DefaultMaxAnswer       = 16 << 20
 	DefaultMaxConnAge      = 5 * time.Minute
 	DefaultKeepAlive       = 5 * time.Second
-	defaultIdlePerServer   = 64
+	defaultMaxIdleConns    = 64
 )
 
 // Options configure a Client. Zero values select the defaults.
@@ -92,8 +92,8 @@
 type Client struct {
 	opts Options
 	http *http.Client
-	// probe opens a new connection for each call.
-	probe *http.Client
+	// noKeepAlive opens a new connection for each request.
+	noKeepAlive *http.Client
 }
 
 var _ engine.Client = (*Client)(nil)
@@ -102,16 +102,16 @@
 func New(o Options) *Client {
 	o = o.withDefaults()
 	return &Client{
-		opts:  o,
-		http:  &http.Client{Transport: newTransport(o, false), CheckRedirect: noRedirect},
-		probe: &http.Client{Transport: newTransport(o, true), CheckRedirect: noRedirect},
+		opts:        o,
+		http:        &http.Client{Transport: newTransport(o, false), CheckRedirect: noRedirect},
+		noKeepAlive: &http.Client{Transport: newTransport(o, true), CheckRedirect: noRedirect},
 	}
 }
 
 // Close releases idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
-	c.probe.CloseIdleConnections()
+	c.noKeepAlive.CloseIdleConnections()
 }
 
 func (o Options) withDefaults() Options {
@@ -137,12 +137,12 @@
 	return o
 }
 
-func newTransport(o Options, single bool) *http.Transport {
+func newTransport(o Options, disableKeepAlives bool) *http.Transport {
 	return &http.Transport{
-		DialContext:           gatedDial(o),
-		DisableKeepAlives:     single,
+		DialContext:           trackedDial(o),
+		DisableKeepAlives:     disableKeepAlives,
 		DisableCompression:    true,
-		MaxIdleConnsPerHost:   defaultIdlePerServer,
+		MaxIdleConnsPerHost:   defaultMaxIdleConns,
 		IdleConnTimeout:       o.MaxConnAge,
 		ExpectContinueTimeout: 0,
 	}
@@ -153,9 +153,9 @@
 	return http.ErrUseLastResponse
 }
 
-// oneShot is a request body that http.Transport can't rewind, which keeps it from resending a call on its own.
-type oneShot struct {
+// oneShotBody is a request body that http.Transport can't rewind, which keeps it from resending a call on its own.
+type oneShotBody struct {
 	io.Reader
 }
 
-func (oneShot) Close() error { return nil }
+func (oneShotBody) Close() error { return nil }
--- a/pkg/engine/openai/control.go
+++ b/pkg/engine/openai/control.go
@@ -19,8 +19,8 @@
 
 // Response limits in bytes and the content encoding of control calls.
 const (
-	// maxControlAnswer is the maximum size of a JSON response.
-	maxControlAnswer = 1 << 20
+	// maxControlResponse is the maximum size of a JSON response.
+	maxControlResponse = 1 << 20
 	// maxKV is the maximum size in bytes of an exported KV cache handle.
 	maxKV        = 1 << 20
 	encodingGzip = "gzip"
@@ -63,7 +63,7 @@
 
 // Cancel implements engine.Client.
 func (c *Client) Cancel(ctx context.Context, t engine.Target, attemptID string) error {
-	r := control{method: http.MethodPost, path: PathCancel, in: CancelBody{Attempt: attemptID}}
+	r := controlCall{method: http.MethodPost, path: PathCancel, in: CancelBody{Attempt: attemptID}}
 	err := c.control(ctx, t, r)
 	var e *engine.Error
 	if errors.As(err, &e) && e.Status == http.StatusNotFound {
@@ -75,7 +75,7 @@
 // Load implements engine.Client.
 func (c *Client) Load(ctx context.Context, t engine.Target) (engine.Load, error) {
 	var v LoadReport
-	if err := c.control(ctx, t, control{method: http.MethodGet, path: PathLoad, out: &v}); err != nil {
+	if err := c.control(ctx, t, controlCall{method: http.MethodGet, path: PathLoad, out: &v}); err != nil {
 		return engine.Load{}, err
 	}
 	return engine.Load{
@@ -92,8 +92,8 @@
 	var v CacheReport
 	var size int
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}, "limit": {strconv.Itoa(limit)}}
-	r := control{
-		method: http.MethodGet, path: PathCache + "?" + query.Encode(), out: &v, most: engine.MaxCachePage, size: &size, compressed: true,
+	r := controlCall{
+		method: http.MethodGet, path: PathCache + "?" + query.Encode(), out: &v, maxBytes: engine.MaxCachePage, size: &size, compressed: true,
 	}
 	if err := c.control(ctx, t, r); err != nil {
 		return engine.CachePage{}, err
@@ -109,7 +109,7 @@
 // Order implements engine.Client.
 func (c *Client) Order(ctx context.Context, t engine.Target, o engine.Order) (engine.OrderState, error) {
 	var v OrderBody
-	r := control{method: http.MethodPost, path: PathOrders, in: OrderBody(o), out: &v}
+	r := controlCall{method: http.MethodPost, path: PathOrders, in: OrderBody(o), out: &v}
 	if err := c.control(ctx, t, r); err != nil {
 		return engine.OrderState{}, err
 	}
@@ -119,7 +119,7 @@
 // ReadOrder implements engine.Client.
 func (c *Client) ReadOrder(ctx context.Context, t engine.Target, kind string) (engine.OrderState, error) {
 	var v OrderBody
-	r := control{method: http.MethodGet, path: PathOrders + "?kind=" + url.QueryEscape(kind), out: &v}
+	r := controlCall{method: http.MethodGet, path: PathOrders + "?kind=" + url.QueryEscape(kind), out: &v}
 	if err := c.control(ctx, t, r); err != nil {
 		return engine.OrderState{}, err
 	}
@@ -129,13 +129,13 @@
 // ExportKV implements engine.Client.
 func (c *Client) ExportKV(ctx context.Context, t engine.Target, attemptID string) ([]byte, error) {
 	var data []byte
-	err := c.control(ctx, t, control{method: http.MethodGet, path: kvPath(attemptID), rawOut: &data})
+	err := c.control(ctx, t, controlCall{method: http.MethodGet, path: kvPath(attemptID), rawOut: &data})
 	return data, err
 }
 
 // ImportKV implements engine.Client.
 func (c *Client) ImportKV(ctx context.Context, t engine.Target, attemptID string, data []byte) error {
-	return c.control(ctx, t, control{method: http.MethodPut, path: kvPath(attemptID), rawIn: data})
+	return c.control(ctx, t, controlCall{method: http.MethodPut, path: kvPath(attemptID), rawIn: data})
 }
 
 func kvPath(attemptID string) string {
@@ -144,33 +144,33 @@
 
 // Probe implements engine.Client.
 func (c *Client) Probe(ctx context.Context, t engine.Target) error {
-	return c.control(ctx, t, control{method: http.MethodGet, path: PathHealth, probe: true})
+	return c.control(ctx, t, controlCall{method: http.MethodGet, path: PathHealth, newConnection: true})
 }
 
-// control is a call to a server other than a stage call. Bodies are JSON (in, out) or raw bytes (rawIn, rawOut).
-type control struct {
+// controlCall is a call to a server other than a stage call. Bodies are JSON (in, out) or raw bytes (rawIn, rawOut).
+type controlCall struct {
 	method string
 	path   string
 	in     any
 	out    any
 	rawIn  []byte
 	rawOut *[]byte
-	// most is the maximum size of the response body in bytes; 0 uses the limit for raw or JSON bodies.
-	most int
+	// maxBytes is the maximum size of the response body in bytes; 0 uses the limit for raw or JSON bodies.
+	maxBytes int
 	// size, if not nil, receives the transmitted size of the response body in bytes.
 	size *int
 	// compressed requests a gzip-compressed response.
 	compressed bool
-	// probe sends the call on a new connection, without asking for the incarnation first.
-	probe bool
+	// newConnection sends the call on a new connection, without asking for the incarnation first.
+	newConnection bool
 }
 
-func (c *Client) control(ctx context.Context, t engine.Target, r control) error {
+func (c *Client) control(ctx context.Context, t engine.Target, r controlCall) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProgressTimeout)
 	defer cancel()
-	s := &sending{begun: time.Now(), maxAge: c.opts.MaxConnAge}
+	s := &sendTracker{startedAt: time.Now(), maxAge: c.opts.MaxConnAge}
 	traced := httptrace.WithClientTrace(ctx, s.trace())
-	if !r.probe {
+	if !r.newConnection {
 		traced = withIdentify(traced, t)
 	}
 	req, err := r.request(traced, t)
@@ -178,15 +178,15 @@
 		return &engine.Error{Kind: engine.Rejected, Server: t.Server, Err: err}
 	}
 	client := c.http
-	if r.probe {
-		client = c.probe
+	if r.newConnection {
+		client = c.noKeepAlive
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return controlError(ctx, t, s.giveUp(), err)
+		return controlError(ctx, t, s.abandon(), err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	c.noticed(t, resp)
+	c.reportNotice(t, resp)
 	body, err := r.read(resp)
 	if err != nil {
 		return controlError(ctx, t, true, err)
@@ -197,7 +197,7 @@
 	return r.decode(t, body)
 }
 
-func (r control) request(ctx context.Context, t engine.Target) (*http.Request, error) {
+func (r controlCall) request(ctx context.Context, t engine.Target) (*http.Request, error) {
 	body := r.rawIn
 	if r.in != nil {
 		b, err := json.Marshal(r.in)
@@ -206,7 +206,7 @@
 		}
 		body = b
 	}
-	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+t.Address+r.path, oneShot{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+t.Address+r.path, oneShotBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, fmt.Errorf("build control call: %w", err)
 	}
@@ -220,13 +220,13 @@
 	return req, nil
 }
 
-// counted is a reader that counts the bytes read.
-type counted struct {
+// countingReader is a reader that counts the bytes read.
+type countingReader struct {
 	io.Reader
 	n int
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.Reader.Read(p)
 	c.n += n
 	return n, err
@@ -234,8 +234,8 @@
 
 // read reads and if necessary decompresses the response body, up to one byte above the limit so that decode can detect
 // a body that is too large.
-func (r control) read(resp *http.Response) ([]byte, error) {
-	sent := &counted{Reader: resp.Body}
+func (r controlCall) read(resp *http.Response) ([]byte, error) {
+	sent := &countingReader{Reader: resp.Body}
 	var body io.Reader = sent
 	if r.compressed && resp.Header.Get("Content-Encoding") == encodingGzip {
 		z, err := gzip.NewReader(sent)
@@ -255,17 +255,17 @@
 }
 
 // limit returns the maximum response body size in bytes.
-func (r control) limit() int {
+func (r controlCall) limit() int {
 	switch {
-	case r.most > 0:
-		return r.most
+	case r.maxBytes > 0:
+		return r.maxBytes
 	case r.rawOut != nil:
 		return maxKV
 	}
-	return maxControlAnswer
+	return maxControlResponse
 }
 
-func (r control) check(t engine.Target, resp *http.Response, body []byte) error {
+func (r controlCall) check(t engine.Target, resp *http.Response, body []byte) error {
 	got := resp.Header.Get(HeaderIncarnation)
 	if got != "" && t.Incarnation != "" && got != t.Incarnation {
 		return &engine.Error{Kind: engine.Crashed, Server: t.Server, Sent: true, Err: fmt.Errorf("server now has incarnation %q", got)}
@@ -273,7 +273,7 @@
 	if resp.StatusCode/100 == 2 {
 		return nil
 	}
-	e := &engine.Error{Kind: kindOf(resp.StatusCode), Server: t.Server, Sent: true, Status: resp.StatusCode}
+	e := &engine.Error{Kind: kindOfStatus(resp.StatusCode), Server: t.Server, Sent: true, Status: resp.StatusCode}
 	if resp.StatusCode == http.StatusConflict {
 		e.Kind = engine.Stale
 	}
@@ -282,7 +282,7 @@
 	return e
 }
 
-func (r control) decode(t engine.Target, body []byte) error {
+func (r controlCall) decode(t engine.Target, body []byte) error {
 	if len(body) > r.limit() {
 		return &engine.Error{Kind: engine.Failed, Server: t.Server, Sent: true, Err: errors.New("response too large")}
 	}
@@ -306,9 +306,9 @@
 		e.Kind = engine.Silent
 	case ctx.Err() != nil:
 		e.Kind = engine.Canceled
-	case refused(err):
+	case isRefused(err):
 		e.Kind = engine.Refused
-	case timedOut(err):
+	case isTimeout(err):
 		e.Kind = engine.Silent
 	default:
 		e.Kind = engine.Crashed
--- a/pkg/engine/openai/identity.go
+++ b/pkg/engine/openai/identity.go
@@ -19,30 +19,30 @@
 const CapabilityIncarnation = "incarnation"
 
 var (
-	// errIncarnation means that the server now has another incarnation than the call's target.
-	errIncarnation = errors.New("openai: server has another incarnation")
-	// errOneAnswer means that the server closes the connection after the health check, so no call can follow on it.
-	errOneAnswer = errors.New("openai: server closes the connection after one response")
+	// errWrongIncarnation means that the server now has another incarnation than the call's target.
+	errWrongIncarnation = errors.New("openai: server has another incarnation")
+	// errNotReusable means that the server closes the connection after the health check, so no call can follow on it.
+	errNotReusable = errors.New("openai: server closes the connection after one response")
 )
 
 type identifyKey struct{}
 
-// withIdentify makes gatedDial ask for the server's incarnation on a new connection, if the server reports it.
+// withIdentify makes trackedDial ask for the server's incarnation on a new connection, if the server reports it.
 func withIdentify(ctx context.Context, t engine.Target) context.Context {
-	if !tellsIncarnation(t) {
+	if !reportsIncarnation(t) {
 		return ctx
 	}
 	return context.WithValue(ctx, identifyKey{}, true)
 }
 
-func tellsIncarnation(t engine.Target) bool {
+func reportsIncarnation(t engine.Target) bool {
 	return t.Incarnation != "" && slices.Contains(t.Capabilities, CapabilityIncarnation)
 }
 
 // identify makes a health check on a new connection and returns the server's incarnation.
 func identify(ctx context.Context, conn net.Conn, address string) (string, error) {
-	if by, ok := ctx.Deadline(); ok {
-		if err := conn.SetDeadline(by); err != nil {
+	if deadline, ok := ctx.Deadline(); ok {
+		if err := conn.SetDeadline(deadline); err != nil {
 			return "", fmt.Errorf("openai: identify: %w", err)
 		}
 	}
@@ -62,7 +62,7 @@
 		return "", fmt.Errorf("openai: identify: %w", err)
 	}
 	if resp.Close {
-		return "", errOneAnswer
+		return "", errNotReusable
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return "", fmt.Errorf("openai: identify: %w", err)
--- a/pkg/engine/openai/identity_test.go
+++ b/pkg/engine/openai/identity_test.go
@@ -25,17 +25,17 @@
 		c := openai.New(openai.Options{Dial: n.Dialer("10.0.0.1")})
 		defer c.Close()
 		former := s.Target()
-		call := service(http.MethodPost, "x")
+		call := httpCall(http.MethodPost, "x")
 		call.Remaining = 5 * time.Second
 		_, err := c.Call(t.Context(), former, call)
 		require.NoError(t, err)
 		s.Crash()
 		require.NoError(t, s.Start())
 		time.Sleep(10 * time.Millisecond)
-		refused := func() {
+		requireRefused := func() {
 			t.Helper()
-			for _, fresh := range []bool{false, true} {
-				call.NewConnection = fresh
+			for _, newConnection := range []bool{false, true} {
+				call.NewConnection = newConnection
 				_, err = c.Call(t.Context(), former, call)
 				e := errorOf(t, err)
 				require.Equal(t, engine.Refused, e.Kind)
@@ -43,13 +43,13 @@
 			}
 			call.NewConnection = false
 		}
-		refused()
+		requireRefused()
 		_, err = c.Call(t.Context(), s.Target(), call)
 		require.NoError(t, err)
-		refused()
+		requireRefused()
 		_, err = c.Load(t.Context(), s.Target())
 		require.NoError(t, err)
-		refused()
+		requireRefused()
 		require.Len(t, s.Records(), 2, "exactly one call per incarnation")
 		s.Crash()
 	})
--- a/pkg/engine/openai/notice_test.go
+++ b/pkg/engine/openai/notice_test.go
@@ -42,8 +42,8 @@
 			}})
 			defer client.Close()
 			target := engine.Target{Server: "s", Incarnation: "1", Address: srv.Listener.Addr().String()}
-			_, _ = client.Call(t.Context(), target, chat("q"))
-			if s, err := client.Stream(t.Context(), target, chat("q")); err == nil {
+			_, _ = client.Call(t.Context(), target, chatCall("q"))
+			if s, err := client.Stream(t.Context(), target, chatCall("q")); err == nil {
 				require.NoError(t, s.Close())
 			}
 			_, _ = client.Load(t.Context(), target)
--- a/pkg/engine/openai/openai_test.go
+++ b/pkg/engine/openai/openai_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-func chat(question string) engine.Call {
+func chatCall(question string) engine.Call {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"messages":[{"role":"user","content":%q}]}`, question)
 	return engine.Call{AttemptID: "a-1", Operation: engine.Chat, Body: []byte(body)}
 }
@@ -60,7 +60,7 @@
 func TestStreamFromUnmodifiedServer(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s", Stock: true, Tokens: 5})
 	c := newClient(t, openai.Options{})
-	st, err := c.Stream(t.Context(), s.Target(), chat("q"))
+	st, err := c.Stream(t.Context(), s.Target(), chatCall("q"))
 	require.NoError(t, err)
 	text, err := readAll(t.Context(), st)
 	require.NoError(t, err)
@@ -70,7 +70,7 @@
 func TestResumedStreamContinuesAtToken(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s", Tokens: 5})
 	c := newClient(t, openai.Options{})
-	call := chat("q")
+	call := chatCall("q")
 	call.ResumeFrom = 3
 	call.ResumeText = standin.AnswerText("q", 3)
 	st, err := c.Stream(t.Context(), s.Target(), call)
@@ -97,7 +97,7 @@
 			s := startServer(t, standin.Options{Name: "s"})
 			s.SetFault(tc.fault, 1)
 			c := newClient(t, openai.Options{ProgressTimeout: 100 * time.Millisecond})
-			st, err := c.Stream(t.Context(), s.Target(), chat("q"))
+			st, err := c.Stream(t.Context(), s.Target(), chatCall("q"))
 			if err == nil {
 				_, err = readAll(t.Context(), st)
 			}
@@ -113,7 +113,7 @@
 	c := newClient(t, openai.Options{})
 	target := s.Target()
 	target.Capabilities = []string{openai.CapabilityAttemptID}
-	_, err := c.Call(t.Context(), target, service(http.MethodPost, "book"))
+	_, err := c.Call(t.Context(), target, httpCall(http.MethodPost, "book"))
 	require.Equal(t, engine.Crossed, errorOf(t, err).Kind)
 }
 
@@ -130,7 +130,7 @@
 			w.WriteHeader(status)
 		}))
 		c := newClient(t, openai.Options{})
-		_, err := c.Call(t.Context(), engine.Target{Server: "s", Address: srv.Listener.Addr().String()}, chat("q"))
+		_, err := c.Call(t.Context(), engine.Target{Server: "s", Address: srv.Listener.Addr().String()}, chatCall("q"))
 		e := errorOf(t, err)
 		require.Equal(t, kind, e.Kind, "status %d", status)
 		require.Equal(t, 7*time.Second, e.RetryAfter)
@@ -158,7 +158,7 @@
 
 	var calls []engine.Call
 	for i := range 3 {
-		calls = append(calls, chat(strings.Repeat(fmt.Sprint(i), engine.PrefixBlock)))
+		calls = append(calls, chatCall(strings.Repeat(fmt.Sprint(i), engine.PrefixBlock)))
 		_, err = c.Call(ctx, target, calls[i])
 		require.Error(t, err, "a streamed response is not a single JSON value")
 	}
@@ -196,7 +196,7 @@
 	target := engine.Target{Server: "s", Address: srv.Listener.Addr().String()}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		answer = data
-		st, err := c.Stream(t.Context(), target, chat("q"))
+		st, err := c.Stream(t.Context(), target, chatCall("q"))
 		require.NoError(t, err)
 		_, err = readAll(t.Context(), st)
 		if err == nil {
--- a/pkg/engine/openai/sent_test.go
+++ b/pkg/engine/openai/sent_test.go
@@ -23,8 +23,8 @@
 
 var errDial = errors.New("dial")
 
-// service returns a call to a plain HTTP service.
-func service(method string, body string) engine.Call {
+// httpCall returns a call to a plain HTTP service.
+func httpCall(method string, body string) engine.Call {
 	return engine.Call{AttemptID: "a-1", Operation: engine.HTTP, Method: method, Path: "/book", Body: []byte(body)}
 }
 
@@ -42,14 +42,14 @@
 	return c
 }
 
-// wire is a connection that fails writes beyond limit bytes and counts the bytes written.
-type wire struct {
+// limitedConn is a connection that fails writes beyond limit bytes and counts the bytes written.
+type limitedConn struct {
 	net.Conn
 	limit   int
 	written *atomic.Int64
 }
 
-func (w wire) Write(p []byte) (int, error) {
+func (w limitedConn) Write(p []byte) (int, error) {
 	n := min(len(p), w.limit)
 	w.written.Add(int64(n))
 	if n < len(p) {
@@ -80,13 +80,13 @@
 		{"write error after a partial send", func(written *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
 			return func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-				return wire{conn, 10, written}, err
+				return limitedConn{conn, 10, written}, err
 			}
 		}, engine.Crashed, true, 0},
 		{"write error before the first byte", func(written *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
 			return func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-				return wire{conn, 0, written}, err
+				return limitedConn{conn, 0, written}, err
 			}
 		}, engine.Crashed, true, 0},
 	} {
@@ -96,7 +96,7 @@
 			// Without the incarnation capability, the call's bytes are the only ones on the connection.
 			target := s.Target()
 			target.Capabilities = []string{openai.CapabilityAttemptID}
-			_, err := c.Call(t.Context(), target, service(http.MethodPost, "book"))
+			_, err := c.Call(t.Context(), target, httpCall(http.MethodPost, "book"))
 			e := errorOf(t, err)
 			require.Equal(t, tc.kind, e.Kind)
 			require.Equal(t, tc.sent, e.Sent)
@@ -113,7 +113,7 @@
 	c := newClient(t, openai.Options{})
 	notSent := map[string]bool{}
 	for i := range 300 {
-		call := service(http.MethodPost, "book")
+		call := httpCall(http.MethodPost, "book")
 		call.AttemptID = "a-" + strings.Repeat("x", i)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Duration(i)*2*time.Microsecond)
 		_, err := c.Call(ctx, s.Target(), call)
@@ -142,9 +142,9 @@
 			defer srv.Close()
 			target := engine.Target{Server: "s", Address: srv.Listener.Addr().String()}
 			c := newClient(t, openai.Options{})
-			_, err := c.Call(t.Context(), target, service(method, ""))
+			_, err := c.Call(t.Context(), target, httpCall(method, ""))
 			require.NoError(t, err)
-			_, err = c.Call(t.Context(), target, service(method, ""))
+			_, err = c.Call(t.Context(), target, httpCall(method, ""))
 			e := errorOf(t, err)
 			require.True(t, e.Sent)
 			require.Equal(t, engine.Crashed, e.Kind)
@@ -164,7 +164,7 @@
 		},
 	})
 	for range 3 {
-		_, err := c.Call(t.Context(), s.Target(), service(http.MethodPost, "book"))
+		_, err := c.Call(t.Context(), s.Target(), httpCall(http.MethodPost, "book"))
 		// Even a new connection exceeds this maximum age, so the call fails without being sent.
 		require.False(t, errorOf(t, err).Sent)
 	}
@@ -172,10 +172,10 @@
 	require.Greater(t, dials.Load(), int64(3))
 }
 
-// pipes is an in-memory listener and dialer, so that waits on it let the virtual time of synctest advance.
-type pipes chan net.Conn
+// pipeNetwork is an in-memory listener and dialer, so that waits on it let the virtual time of synctest advance.
+type pipeNetwork chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeNetwork) Accept() (net.Conn, error) {
 	conn, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
@@ -183,10 +183,10 @@
 	return conn, nil
 }
 
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeNetwork) Close() error   { return nil }
+func (p pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p pipeNetwork) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	p <- far
 	return near, nil
@@ -194,7 +194,7 @@
 
 func TestSilentServerAndSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := make(pipes)
+		network := make(pipeNetwork)
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			if r.URL.Path != openai.PathChat {
@@ -212,13 +212,13 @@
 		c := openai.New(openai.Options{ProgressTimeout: time.Second, Dial: network.dial})
 		target := engine.Target{Server: "s", Address: "10.0.0.1:1"}
 		began := time.Now()
-		_, err := c.Call(t.Context(), target, service(http.MethodPost, "book"))
+		_, err := c.Call(t.Context(), target, httpCall(http.MethodPost, "book"))
 		e := errorOf(t, err)
 		require.Equal(t, engine.Silent, e.Kind)
 		require.True(t, e.Sent)
 		require.Equal(t, time.Second, time.Since(began))
 
-		st, err := c.Stream(t.Context(), target, chat("q"))
+		st, err := c.Stream(t.Context(), target, chatCall("q"))
 		require.NoError(t, err)
 		time.Sleep(time.Minute) // a slow reader must not trigger the progress timeout
 		ev, err := st.Next(t.Context())
@@ -265,6 +265,6 @@
 		_ = conn.Close()
 	}()
 	c := newClient(t, openai.Options{})
-	_, err = c.Call(t.Context(), engine.Target{Server: "s", Address: l.Addr().String()}, service(http.MethodPost, "book"))
+	_, err = c.Call(t.Context(), engine.Target{Server: "s", Address: l.Addr().String()}, httpCall(http.MethodPost, "book"))
 	require.Equal(t, engine.Truncated, errorOf(t, err).Kind)
 }
--- a/pkg/engine/openai/stream.go
+++ b/pkg/engine/openai/stream.go
@@ -27,7 +27,7 @@
 		from, err := strconv.Atoi(h)
 		if err != nil || from < 0 || from > call.ResumeFrom {
 			x.finish()
-			return nil, x.wrong(engine.Crossed, fmt.Errorf("server resumed from token %q, expected at most %d", h, call.ResumeFrom))
+			return nil, x.responseError(engine.Crossed, fmt.Errorf("server resumed from token %q, expected at most %d", h, call.ResumeFrom))
 		}
 		s.next = from
 	}
@@ -59,7 +59,7 @@
 		stop := context.AfterFunc(ctx, func() { s.x.cancel(context.Canceled) })
 		defer stop()
 	}
-	ev, err := s.read()
+	ev, err := s.readEvent()
 	if err != nil {
 		s.err = err
 		return engine.Event{}, err
@@ -74,16 +74,16 @@
 	return nil
 }
 
-// read returns the next event that has text, a finish reason, usage or the end marker.
-func (s *stream) read() (engine.Event, error) {
+// readEvent returns the next event that has text, a finish reason, usage or the end marker.
+func (s *stream) readEvent() (engine.Event, error) {
 	for {
-		data, err := s.data()
+		data, err := s.readData()
 		if err != nil {
 			return engine.Event{}, err
 		}
 		c, end, err := decodeChunk(data)
 		if err != nil {
-			return engine.Event{}, s.x.wrong(engine.Failed, err)
+			return engine.Event{}, s.x.responseError(engine.Failed, err)
 		}
 		if end {
 			return engine.Event{AttemptID: s.x.call.AttemptID, Index: s.next, End: true}, nil
@@ -92,9 +92,9 @@
 			return engine.Event{}, err
 		}
 		if c.Daisyhatch != nil && c.Daisyhatch.Index != nil && *c.Daisyhatch.Index < 0 {
-			return engine.Event{}, s.x.wrong(engine.Failed, errors.New("negative token index"))
+			return engine.Event{}, s.x.responseError(engine.Failed, errors.New("negative token index"))
 		}
-		if ev, ok := s.event(c); ok {
+		if ev, ok := s.toEvent(c); ok {
 			return ev, nil
 		}
 	}
@@ -102,7 +102,7 @@
 
 func (s *stream) checkID(c chunk) error {
 	if c.Daisyhatch != nil && c.Daisyhatch.Attempt != "" && c.Daisyhatch.Attempt != s.x.call.AttemptID {
-		return s.x.wrong(engine.Crossed, fmt.Errorf("event belongs to attempt %q", c.Daisyhatch.Attempt))
+		return s.x.responseError(engine.Crossed, fmt.Errorf("event belongs to attempt %q", c.Daisyhatch.Attempt))
 	}
 	if c.ID == "" {
 		return nil
@@ -111,13 +111,13 @@
 		s.id = c.ID
 	}
 	if c.ID != s.id {
-		return s.x.wrong(engine.Crossed, fmt.Errorf("event belongs to completion %q, expected %q", c.ID, s.id))
+		return s.x.responseError(engine.Crossed, fmt.Errorf("event belongs to completion %q, expected %q", c.ID, s.id))
 	}
 	return nil
 }
 
-// event converts a chunk to an event; ok is false when the chunk has no text, finish reason or usage.
-func (s *stream) event(c chunk) (ev engine.Event, ok bool) {
+// toEvent converts a chunk to an event; ok is false when the chunk has no text, finish reason or usage.
+func (s *stream) toEvent(c chunk) (ev engine.Event, ok bool) {
 	ev = engine.Event{AttemptID: s.x.call.AttemptID, Index: s.next}
 	if c.Usage != nil {
 		ev.Usage = c.Usage.usage()
@@ -137,8 +137,8 @@
 	return ev, ok || ev.Text != "" || ev.FinishReason != ""
 }
 
-// data returns the data of the next server-sent event.
-func (s *stream) data() ([]byte, error) {
+// readData returns the data of the next server-sent event.
+func (s *stream) readData() ([]byte, error) {
 	var data []byte
 	for s.lines.Scan() {
 		line := s.lines.Bytes()
@@ -157,12 +157,12 @@
 		}
 		data = append(data, bytes.TrimPrefix(value, []byte(" "))...)
 		if len(data) > maxEventLine {
-			return nil, s.x.wrong(engine.Failed, errors.New("event too large"))
+			return nil, s.x.responseError(engine.Failed, errors.New("event too large"))
 		}
 	}
 	err := s.lines.Err()
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return nil, s.x.fail(fmt.Errorf("read stream: %w", err))
+	return nil, s.x.transportError(fmt.Errorf("read stream: %w", err))
 }
