--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -85,12 +85,12 @@
 	accepted int64
 	state    daisyhatchv1.ClaimState
 	outcome  *outcome
-	// bodyNumber orders the stored bodies by completion; 0 if no body is stored.
-	bodyNumber uint64
+	// bodySequence orders the stored bodies by completion; 0 if no body is stored.
+	bodySequence uint64
 	// position is the claim's element in Ledger.timed or Ledger.untimed.
 	position *list.Element
-	// body is the claim's element in Ledger.bodies; nil if no body is stored.
-	body *list.Element
+	// bodyPosition is the claim's element in Ledger.bodies; nil if no body is stored.
+	bodyPosition *list.Element
 }
 
 // process is one incarnation of an entry VM that holds claims in the ledger.
@@ -119,8 +119,8 @@
 	bodies *list.List
 	// bodyBytes is the total size of the stored bodies in bytes.
 	bodyBytes int
-	// bodyNumber is the number of the body stored last.
-	bodyNumber uint64
+	// bodySequence is the number of the body stored last.
+	bodySequence uint64
 	// watermark is the latest creation time, in Unix milliseconds, among the keys that were dropped early to make room.
 	// An unrecorded key created at or before it may be one of them and is refused as expired.
 	watermark int64
@@ -152,41 +152,41 @@
 		return nil, err
 	}
 	l.Expire(nowMs)
-	l.hear(c.GetHolder(), c.GetIncarnation())
+	l.noteIncarnation(c.GetHolder(), c.GetIncarnation())
 	key := Key{c.GetOrganisation(), c.GetKey()}.id()
 	if old, ok := l.claims[key]; ok {
-		return again(old, c, nowMs), nil
+		return repeatClaim(old, c, nowMs), nil
 	}
-	if l.forgotten(c, nowMs) {
+	if l.maybeDropped(c, nowMs) {
 		return &daisyhatchv1.ClaimResult{State: daisyhatchv1.ClaimState_CLAIM_STATE_EXPIRED}, nil
 	}
 	if !l.makeRoom(nowMs) {
 		return &daisyhatchv1.ClaimResult{State: daisyhatchv1.ClaimState_CLAIM_STATE_FULL}, nil
 	}
-	l.record(key, c, nowMs)
+	l.addClaim(key, c, nowMs)
 	return &daisyhatchv1.ClaimResult{State: daisyhatchv1.ClaimState_CLAIM_STATE_GRANTED, Holder: c.GetHolder()}, nil
 }
 
-// again returns the result of claiming a key that is already recorded.
-func again(old *claim, c *daisyhatchv1.ClaimCommand, nowMs int64) *daisyhatchv1.ClaimResult {
+// repeatClaim returns the result of claiming a key that is already recorded.
+func repeatClaim(old *claim, c *daisyhatchv1.ClaimCommand, nowMs int64) *daisyhatchv1.ClaimResult {
 	if old.bodyHash != c.GetBodyHash() {
 		return &daisyhatchv1.ClaimResult{State: daisyhatchv1.ClaimState_CLAIM_STATE_KEY_REUSED}
 	}
-	r := old.answer(nowMs)
+	r := old.result(nowMs)
 	pending := r.GetState() == daisyhatchv1.ClaimState_CLAIM_STATE_PENDING
-	if pending && old.isBy(c.GetHolder(), c.GetIncarnation(), c.GetAttempt()) {
+	if pending && old.isHeldBy(c.GetHolder(), c.GetIncarnation(), c.GetAttempt()) {
 		r.State = daisyhatchv1.ClaimState_CLAIM_STATE_GRANTED
 	}
 	return r
 }
 
-// answer returns the claim's state at time nowMs. A pending claim is reported as unknown once its deadline has passed
+// result returns the claim's state at time nowMs. A pending claim is reported as unknown once its deadline has passed
 // or its holder has made a claim in another incarnation. The holder may still complete it after that.
-func (c *claim) answer(nowMs int64) *daisyhatchv1.ClaimResult {
+func (c *claim) result(nowMs int64) *daisyhatchv1.ClaimResult {
 	r := &daisyhatchv1.ClaimResult{State: c.state, Holder: c.process.holder}
 	switch c.state {
 	case daisyhatchv1.ClaimState_CLAIM_STATE_DONE:
-		r.Outcome = c.outcome.message()
+		r.Outcome = c.outcome.toProto()
 	case daisyhatchv1.ClaimState_CLAIM_STATE_PENDING:
 		if nowMs > c.deadline || !c.process.latest {
 			r.State = daisyhatchv1.ClaimState_CLAIM_STATE_UNKNOWN
@@ -195,13 +195,13 @@
 	return r
 }
 
-func (c *claim) isBy(holder, incarnation, attempt string) bool {
+func (c *claim) isHeldBy(holder, incarnation, attempt string) bool {
 	p := c.process
 	return p.holder == holder && p.incarnation == incarnation && c.attempt == xxhash.Sum64String(attempt)
 }
 
-// forgotten reports whether an unrecorded key may have had a claim that was dropped since.
-func (l *Ledger) forgotten(c *daisyhatchv1.ClaimCommand, nowMs int64) bool {
+// maybeDropped reports whether an unrecorded key may have had a claim that was dropped since.
+func (l *Ledger) maybeDropped(c *daisyhatchv1.ClaimCommand, nowMs int64) bool {
 	created := createdMs(c, nowMs)
 	return created != 0 && (created <= l.watermark || created <= nowMs-RetentionMs+ClockSlackMs)
 }
@@ -214,7 +214,7 @@
 	return 0
 }
 
-func (l *Ledger) record(key id, c *daisyhatchv1.ClaimCommand, nowMs int64) {
+func (l *Ledger) addClaim(key id, c *daisyhatchv1.ClaimCommand, nowMs int64) {
 	run := min(max(c.GetDeadlineUnixMs()-nowMs, MinRunMs), MaxRunMs)
 	n := &claim{
 		id:       key,
@@ -225,12 +225,13 @@
 		accepted: nowMs,
 		state:    daisyhatchv1.ClaimState_CLAIM_STATE_PENDING,
 	}
-	l.insert(n, l.process(c.GetHolder(), c.GetIncarnation()))
-	l.hear(c.GetHolder(), c.GetIncarnation())
+	l.insert(n, l.processOf(c.GetHolder(), c.GetIncarnation()))
+	l.noteIncarnation(c.GetHolder(), c.GetIncarnation())
 }
 
-// hear marks the latest incarnation of a holder. It scans all processes, since only a few hold claims at any time.
-func (l *Ledger) hear(holder, incarnation string) {
+// noteIncarnation marks the latest incarnation of a holder. It scans all processes, since only a few
+// hold claims at any time.
+func (l *Ledger) noteIncarnation(holder, incarnation string) {
 	if p, ok := l.processes[processKey{holder, incarnation}]; ok && p.latest {
 		return
 	}
@@ -241,7 +242,7 @@
 	}
 }
 
-func (l *Ledger) process(holder, incarnation string) *process {
+func (l *Ledger) processOf(holder, incarnation string) *process {
 	k := processKey{holder, incarnation}
 	p, ok := l.processes[k]
 	if !ok {
@@ -285,7 +286,7 @@
 			return false
 		}
 		c := front.Value.(*claim)
-		pending := c.answer(nowMs).GetState() == daisyhatchv1.ClaimState_CLAIM_STATE_PENDING
+		pending := c.result(nowMs).GetState() == daisyhatchv1.ClaimState_CLAIM_STATE_PENDING
 		if pending || nowMs < c.accepted+MinRetentionMs {
 			return false
 		}
@@ -313,7 +314,7 @@
 	}
 	l.Expire(nowMs)
 	old, ok := l.claims[Key{c.GetOrganisation(), c.GetKey()}.id()]
-	if !ok || !old.isBy(c.GetHolder(), c.GetIncarnation(), c.GetAttempt()) {
+	if !ok || !old.isHeldBy(c.GetHolder(), c.GetIncarnation(), c.GetAttempt()) {
 		return &daisyhatchv1.CompleteResult{}, nil
 	}
 	if old.state == daisyhatchv1.ClaimState_CLAIM_STATE_DONE {
@@ -327,14 +328,14 @@
 	case c.GetUnknown() || c.GetOutcome() == nil:
 		old.state = daisyhatchv1.ClaimState_CLAIM_STATE_UNKNOWN
 	default:
-		l.store(old, c.GetOutcome())
+		l.storeOutcome(old, c.GetOutcome())
 	}
 	return &daisyhatchv1.CompleteResult{Stored: true}, nil
 }
 
-func (l *Ledger) store(c *claim, o *daisyhatchv1.StoredOutcome) {
+func (l *Ledger) storeOutcome(c *claim, o *daisyhatchv1.StoredOutcome) {
 	c.state = daisyhatchv1.ClaimState_CLAIM_STATE_DONE
-	c.outcome = l.outcome(o)
+	c.outcome = l.newOutcome(o)
 	if len(c.outcome.body) > MaxBody {
 		c.outcome.body = nil
 		c.outcome.omitted = true
@@ -342,8 +343,8 @@
 	if len(c.outcome.body) == 0 {
 		return
 	}
-	l.bodyNumber++
-	l.keepBody(c, l.bodyNumber)
+	l.bodySequence++
+	l.addBody(c, l.bodySequence)
 	for l.bodyBytes > l.maxBodies {
 		oldest := l.bodies.Front().Value.(*claim)
 		l.dropBody(oldest)
@@ -351,20 +352,20 @@
 	}
 }
 
-func (l *Ledger) keepBody(c *claim, number uint64) {
-	c.bodyNumber = number
-	c.body = l.bodies.PushBack(c)
+func (l *Ledger) addBody(c *claim, number uint64) {
+	c.bodySequence = number
+	c.bodyPosition = l.bodies.PushBack(c)
 	l.bodyBytes += len(c.outcome.body)
 }
 
 func (l *Ledger) dropBody(c *claim) {
-	if c.body == nil {
+	if c.bodyPosition == nil {
 		return
 	}
 	l.bodyBytes -= len(c.outcome.body)
-	l.bodies.Remove(c.body)
-	c.body = nil
-	c.bodyNumber = 0
+	l.bodies.Remove(c.bodyPosition)
+	c.bodyPosition = nil
+	c.bodySequence = 0
 	c.outcome.body = nil
 }
 
@@ -374,7 +375,7 @@
 	if !ok {
 		return nil
 	}
-	return c.answer(nowMs)
+	return c.result(nowMs)
 }
 
 // Len returns the number of recorded claims.
--- a/pkg/ledger/ledger_test.go
+++ b/pkg/ledger/ledger_test.go
@@ -37,35 +37,35 @@
 	maxBodies = 30
 )
 
-// run is the oracle's record of one granted claim.
-type run struct {
+// grantedClaim is the oracle's record of one granted claim.
+type grantedClaim struct {
 	claim    *daisyhatchv1.ClaimCommand
 	accepted int64
 	timed    bool
 	state    daisyhatchv1.ClaimState
 	outcome  []byte
-	// doubted is true once another incarnation of the holder has made a claim.
-	doubted bool
+	// superseded is true once another incarnation of the holder has made a claim.
+	superseded bool
 }
 
 // oracle is a reference model of the ledger that never drops a claim.
 type oracle struct {
-	runs map[Key]*run
-	// process is the latest incarnation of each holder.
-	process map[string]string
-	now     int64
+	runs map[Key]*grantedClaim
+	// incarnation is the latest incarnation of each holder.
+	incarnation map[string]string
+	now         int64
 }
 
 // expect returns the state that the ledger must return for claim c of a recorded key.
-func (o *oracle) expect(r *run, c *daisyhatchv1.ClaimCommand) daisyhatchv1.ClaimState {
+func (o *oracle) expect(r *grantedClaim, c *daisyhatchv1.ClaimCommand) daisyhatchv1.ClaimState {
 	if r.claim.GetBodyHash() != c.GetBodyHash() {
 		return reused
 	}
 	if r.state != pending {
 		return r.state
 	}
-	given := min(max(r.claim.GetDeadlineUnixMs()-r.accepted, MinRunMs), MaxRunMs)
-	if o.now > r.accepted+given+DeadlineMarginMs || o.process[r.claim.GetHolder()] != r.claim.GetIncarnation() {
+	runLimit := min(max(r.claim.GetDeadlineUnixMs()-r.accepted, MinRunMs), MaxRunMs)
+	if o.now > r.accepted+runLimit+DeadlineMarginMs || o.incarnation[r.claim.GetHolder()] != r.claim.GetIncarnation() {
 		return unknown
 	}
 	if r.claim.GetHolder() == c.GetHolder() && r.claim.GetAttempt() == c.GetAttempt() {
@@ -75,19 +75,21 @@
 }
 
 // running reports whether a run's holder may still be running the request.
-func (o *oracle) running(r *run) bool { return !r.doubted && o.expect(r, r.claim) == granted }
+func (o *oracle) running(r *grantedClaim) bool {
+	return !r.superseded && o.expect(r, r.claim) == granted
+}
 
-func (o *oracle) hear(holder, process string) {
-	o.process[holder] = process
+func (o *oracle) noteIncarnation(holder, process string) {
+	o.incarnation[holder] = process
 	for _, r := range o.runs {
 		if r.claim.GetHolder() == holder && r.claim.GetIncarnation() != process {
-			r.doubted = true
+			r.superseded = true
 		}
 	}
 }
 
 func (o *oracle) checkClaim(t *rapid.T, l *Ledger, c *daisyhatchv1.ClaimCommand) {
-	o.hear(c.GetHolder(), c.GetIncarnation())
+	o.noteIncarnation(c.GetHolder(), c.GetIncarnation())
 	k := Key{c.GetOrganisation(), c.GetKey()}
 	old := o.runs[k]
 	before := l.Len()
@@ -109,7 +111,7 @@
 	case got.GetState() == granted:
 		require.False(t, old != nil && (old.timed || age < RetentionMs), "key %v was granted twice", k)
 		created := c.GetCreatedUnixMs()
-		o.runs[k] = &run{claim: c, accepted: o.now, timed: created > 0 && created <= o.now+ClockSlackMs, state: pending}
+		o.runs[k] = &grantedClaim{claim: c, accepted: o.now, timed: created > 0 && created <= o.now+ClockSlackMs, state: pending}
 	case got.GetState() == full:
 		require.GreaterOrEqual(t, before, maxClaims)
 	case got.GetState() == expired:
@@ -125,13 +127,13 @@
 	r := o.runs[k]
 	got, err := l.Complete(c, o.now)
 	require.NoError(t, err)
-	own := r != nil && r.claim.GetHolder() == c.GetHolder() && r.claim.GetIncarnation() == c.GetIncarnation() &&
+	byHolder := r != nil && r.claim.GetHolder() == c.GetHolder() && r.claim.GetIncarnation() == c.GetIncarnation() &&
 		r.claim.GetAttempt() == c.GetAttempt()
-	if !own {
+	if !byHolder {
 		require.False(t, got.GetStored(), "claim was completed by another holder")
 	}
 	if !got.GetStored() {
-		require.False(t, own && r.state == pending && o.now-r.accepted < MinRetentionMs, "completion by the holder was not stored")
+		require.False(t, byHolder && r.state == pending && o.now-r.accepted < MinRetentionMs, "completion by the holder was not stored")
 		return
 	}
 	switch {
@@ -197,8 +199,8 @@
 // if its creation time is known, and recorded keys must have the state that the model expects.
 func TestAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := small(New())
-		o := &oracle{runs: make(map[Key]*run), process: make(map[string]string), now: 10 * RetentionMs}
+		l := withSmallLimits(New())
+		o := &oracle{runs: make(map[Key]*grantedClaim), incarnation: make(map[string]string), now: 10 * RetentionMs}
 		for range rapid.IntRange(50, 250).Draw(t, "steps") {
 			o.now += rapid.SampledFrom([]int64{0, 0, 500, 3000, MinRetentionMs / 2, MinRetentionMs}).Draw(t, "pass")
 			if rapid.IntRange(0, 30).Draw(t, "long pass") == 30 {
@@ -210,7 +212,7 @@
 				o.checkComplete(t, l, drawComplete(t, o))
 			}
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
-				l = reload(t, l)
+				l = restoreFromSnapshot(t, l)
 			}
 			require.LessOrEqual(t, l.Len(), maxClaims)
 			require.LessOrEqual(t, l.BodyBytes(), maxBodies)
@@ -218,13 +220,13 @@
 	})
 }
 
-func small(l *Ledger) *Ledger {
+func withSmallLimits(l *Ledger) *Ledger {
 	l.maxClaims = maxClaims
 	l.maxBodies = maxBodies
 	return l
 }
 
-func reload(t *rapid.T, l *Ledger) *Ledger {
+func restoreFromSnapshot(t *rapid.T, l *Ledger) *Ledger {
 	data, err := proto.Marshal(l.Snapshot())
 	require.NoError(t, err)
 	s := &daisyhatchv1.LedgerSnapshot{}
@@ -233,7 +235,7 @@
 	require.NoError(t, err)
 	require.Equal(t, l.bodyBytes, n.bodyBytes)
 	require.Equal(t, l.timed.Len(), n.timed.Len())
-	return small(n)
+	return withSmallLimits(n)
 }
 
 func TestLargeBodyIsOmitted(t *testing.T) {
--- a/pkg/ledger/outcome.go
+++ b/pkg/ledger/outcome.go
@@ -18,17 +18,17 @@
 	body        []byte
 }
 
-func (l *Ledger) outcome(m *daisyhatchv1.StoredOutcome) *outcome {
+func (l *Ledger) newOutcome(m *daisyhatchv1.StoredOutcome) *outcome {
 	return &outcome{
 		status:      m.GetStatus(),
 		omitted:     m.GetBodyOmitted(),
-		contentType: l.contentType(m.GetContentType()),
+		contentType: l.internContentType(m.GetContentType()),
 		body:        bytes.Clone(m.GetBody()),
 	}
 }
 
-// contentType returns the interned copy of s.
-func (l *Ledger) contentType(s string) string {
+// internContentType returns the interned copy of s.
+func (l *Ledger) internContentType(s string) string {
 	if known, ok := l.contentTypes[s]; ok {
 		return known
 	}
@@ -39,7 +39,7 @@
 	return s
 }
 
-func (o *outcome) message() *daisyhatchv1.StoredOutcome {
+func (o *outcome) toProto() *daisyhatchv1.StoredOutcome {
 	if o == nil {
 		return nil
 	}
--- a/pkg/ledger/snapshot.go
+++ b/pkg/ledger/snapshot.go
@@ -11,19 +11,19 @@
 // Snapshot returns the state as a message. The message shares memory with the ledger, so the caller must encode it
 // before the next command.
 func (l *Ledger) Snapshot() *daisyhatchv1.LedgerSnapshot {
-	s := &daisyhatchv1.LedgerSnapshot{WatermarkUnixMs: l.watermark, BodySequence: l.bodyNumber}
-	places := make(map[*process]uint32, len(l.processes))
+	s := &daisyhatchv1.LedgerSnapshot{WatermarkUnixMs: l.watermark, BodySequence: l.bodySequence}
+	processIndex := make(map[*process]uint32, len(l.processes))
 	for i, p := range l.sortedProcesses() {
-		places[p] = uint32(i)
+		processIndex[p] = uint32(i)
 		s.Processes = append(s.Processes, &daisyhatchv1.HolderProcess{
 			Holder: p.holder, Incarnation: p.incarnation, Latest: p.latest,
 		})
 	}
 	for e := l.timed.Front(); e != nil; e = e.Next() {
-		s.Claims = append(s.Claims, encode(e.Value.(*claim), places))
+		s.Claims = append(s.Claims, encodeClaim(e.Value.(*claim), processIndex))
 	}
 	for e := l.untimed.Front(); e != nil; e = e.Next() {
-		s.Claims = append(s.Claims, encode(e.Value.(*claim), places))
+		s.Claims = append(s.Claims, encodeClaim(e.Value.(*claim), processIndex))
 	}
 	return s
 }
@@ -39,18 +39,18 @@
 	return out
 }
 
-func encode(c *claim, places map[*process]uint32) *daisyhatchv1.ClaimRecord {
+func encodeClaim(c *claim, processIndex map[*process]uint32) *daisyhatchv1.ClaimRecord {
 	return &daisyhatchv1.ClaimRecord{
 		Id:             c.id[:],
 		BodyHash:       c.bodyHash,
-		Process:        places[c.process],
+		Process:        processIndex[c.process],
 		Attempt:        c.attempt,
 		DeadlineUnixMs: c.deadline,
 		CreatedUnixMs:  c.created,
 		AcceptedUnixMs: c.accepted,
 		State:          c.state,
-		Outcome:        c.outcome.message(),
-		BodySequence:   c.bodyNumber,
+		Outcome:        c.outcome.toProto(),
+		BodySequence:   c.bodySequence,
 	}
 }
 
@@ -58,13 +58,13 @@
 func Restore(s *daisyhatchv1.LedgerSnapshot) (*Ledger, error) {
 	l := New()
 	l.watermark = s.GetWatermarkUnixMs()
-	l.bodyNumber = s.GetBodySequence()
+	l.bodySequence = s.GetBodySequence()
 	if len(s.GetClaims()) > MaxClaims {
 		return nil, fmt.Errorf("%w: %d claims exceed the limit", ErrSnapshot, len(s.GetClaims()))
 	}
 	processes := make([]*process, len(s.GetProcesses()))
 	for i, p := range s.GetProcesses() {
-		processes[i] = l.process(p.GetHolder(), p.GetIncarnation())
+		processes[i] = l.processOf(p.GetHolder(), p.GetIncarnation())
 		processes[i].latest = p.GetLatest()
 	}
 	for _, r := range s.GetClaims() {
@@ -101,7 +101,7 @@
 		state:    r.GetState(),
 	}
 	if r.GetOutcome() != nil {
-		c.outcome = l.outcome(r.GetOutcome())
+		c.outcome = l.newOutcome(r.GetOutcome())
 	}
 	l.insert(c, processes[r.GetProcess()])
 	return nil
@@ -123,7 +123,7 @@
 		if c.outcome == nil {
 			return fmt.Errorf("%w: body sequence without outcome", ErrSnapshot)
 		}
-		l.keepBody(c, r.GetBodySequence())
+		l.addBody(c, r.GetBodySequence())
 	}
 	return nil
 }
