--- a/pkg/daemon/entry.go
+++ b/pkg/daemon/entry.go
@@ -249,7 +249,7 @@
 		Logger:     k.Log().WithName("slots"),
 	}
 	e.slots = slots.New(o)
-	e.engine = openai.New(openai.Options{Dial: e.network.Dial, Noticed: e.slots.Noticed})
+	e.engine = openai.New(openai.Options{Dial: e.network.Dial, OnNotice: e.slots.Noticed})
 	e.gate = admission.NewGate(e.admissionOptions(k, p, f, o))
 	return nil
 }
--- a/pkg/engine/openai/call.go
+++ b/pkg/engine/openai/call.go
@@ -126,11 +126,11 @@
 	}
 }
 
-// reportNotice reports to Options.Noticed when a response says that its server is leaving or wants no calls for a time.
+// reportNotice reports to Options.OnNotice when a response says that its server is leaving or wants no calls for a time.
 func (c *Client) reportNotice(t engine.Target, resp *http.Response) {
 	n := holdoff.Parse(resp.StatusCode, resp.Header, HeaderLeaving)
-	if c.opts.Noticed != nil && !n.Empty() {
-		c.opts.Noticed(t, n)
+	if c.opts.OnNotice != nil && !n.Empty() {
+		c.opts.OnNotice(t, n)
 	}
 }
 
--- a/pkg/engine/openai/client.go
+++ b/pkg/engine/openai/client.go
@@ -81,9 +81,9 @@
 	MaxConnAge time.Duration
 	// KeepAlive is the TCP keep-alive interval; a connection fails after 3 unanswered probes. Dial overrides it.
 	KeepAlive time.Duration
-	// Noticed, if not nil, is called for each response that says that its server is leaving or wants no calls for a
+	// OnNotice, if not nil, is called for each response that says that its server is leaving or wants no calls for a
 	// time.
-	Noticed func(t engine.Target, n holdoff.Notice)
+	OnNotice func(t engine.Target, n holdoff.Notice)
 	// Dial opens connections; nil uses TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
--- a/pkg/engine/openai/notice_test.go
+++ b/pkg/engine/openai/notice_test.go
@@ -13,7 +13,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/holdoff"
 )
 
-// TestNoticesArePassedOn checks that Options.Noticed gets a server's leaving and retry headers from the responses of
+// TestNoticesArePassedOn checks that Options.OnNotice gets a server's leaving and retry headers from the responses of
 // calls, streams and control calls, whether they succeed or fail.
 func TestNoticesArePassedOn(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -36,7 +36,7 @@
 			}))
 			defer srv.Close()
 			var got []holdoff.Notice
-			client := openai.New(openai.Options{Noticed: func(to engine.Target, n holdoff.Notice) {
+			client := openai.New(openai.Options{OnNotice: func(to engine.Target, n holdoff.Notice) {
 				require.Equal(t, "s", to.Server)
 				got = append(got, n)
 			}})
