--- a/pkg/engine/engine.go
+++ b/pkg/engine/engine.go
@@ -216,8 +216,9 @@
 	Silent
 	// Truncated means that a stream or body ended early.
 	Truncated
-	// Crossed means that a response carried the ID of another attempt, or lacked an ID that the server must send.
-	Crossed
+	// WrongAttempt means that a response does not belong to the attempt: it carried another attempt or completion ID,
+	// lacked an ID that the server must send, or resumed at a position after the requested one. Its text is "crossed".
+	WrongAttempt
 	// Failed means that the server returned a 5xx error or a malformed response.
 	Failed
 	// Rejected means that the server rejected the request as invalid (3xx or 4xx).
--- a/pkg/engine/openai/call.go
+++ b/pkg/engine/openai/call.go
@@ -182,7 +182,7 @@
 func (x *exchange) checkHeaders() error {
 	id := x.resp.Header.Get(HeaderAttempt)
 	if !x.acceptsAttemptID(id) {
-		return x.responseError(engine.Crossed, fmt.Errorf("response belongs to attempt %q", id))
+		return x.responseError(engine.WrongAttempt, fmt.Errorf("response belongs to attempt %q", id))
 	}
 	if x.call.Operation == engine.HTTP && x.resp.StatusCode < http.StatusInternalServerError {
 		return nil
--- a/pkg/engine/openai/openai_test.go
+++ b/pkg/engine/openai/openai_test.go
@@ -91,7 +91,7 @@
 		{standin.FaultTruncate, engine.Truncated},
 		{standin.FaultCrashMidStream, engine.Truncated},
 		{standin.FaultSilentMidStream, engine.Silent},
-		{standin.FaultCross, engine.Crossed},
+		{standin.FaultCross, engine.WrongAttempt},
 	} {
 		t.Run(standin.FaultNames[tc.fault], func(t *testing.T) {
 			s := startServer(t, standin.Options{Name: "s"})
@@ -114,7 +114,7 @@
 	target := s.Target()
 	target.Capabilities = []string{openai.CapabilityAttemptID}
 	_, err := c.Call(t.Context(), target, httpCall(http.MethodPost, "book"))
-	require.Equal(t, engine.Crossed, errorOf(t, err).Kind)
+	require.Equal(t, engine.WrongAttempt, errorOf(t, err).Kind)
 }
 
 func TestErrorKindByStatus(t *testing.T) {
--- a/pkg/engine/openai/stream.go
+++ b/pkg/engine/openai/stream.go
@@ -27,7 +27,7 @@
 		from, err := strconv.Atoi(h)
 		if err != nil || from < 0 || from > call.ResumeFrom {
 			x.finish()
-			return nil, x.responseError(engine.Crossed, fmt.Errorf("server resumed from token %q, expected at most %d", h, call.ResumeFrom))
+			return nil, x.responseError(engine.WrongAttempt, fmt.Errorf("server resumed from token %q, expected at most %d", h, call.ResumeFrom))
 		}
 		s.next = from
 	}
@@ -102,7 +102,7 @@
 
 func (s *stream) checkID(c chunk) error {
 	if c.Daisyhatch != nil && c.Daisyhatch.Attempt != "" && c.Daisyhatch.Attempt != s.x.call.AttemptID {
-		return s.x.responseError(engine.Crossed, fmt.Errorf("event belongs to attempt %q", c.Daisyhatch.Attempt))
+		return s.x.responseError(engine.WrongAttempt, fmt.Errorf("event belongs to attempt %q", c.Daisyhatch.Attempt))
 	}
 	if c.ID == "" {
 		return nil
@@ -111,7 +111,7 @@
 		s.id = c.ID
 	}
 	if c.ID != s.id {
-		return s.x.responseError(engine.Crossed, fmt.Errorf("event belongs to completion %q, expected %q", c.ID, s.id))
+		return s.x.responseError(engine.WrongAttempt, fmt.Errorf("event belongs to completion %q, expected %q", c.ID, s.id))
 	}
 	return nil
 }
--- a/pkg/executor/attempt.go
+++ b/pkg/executor/attempt.go
@@ -150,7 +150,7 @@
 	}
 	if answer.AttemptID != call.AttemptID {
 		droppedAnswers.Inc()
-		return outcome{failure: &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errAnswer}}
+		return outcome{failure: &engine.Error{Kind: engine.WrongAttempt, Server: target.Server, Sent: true, Err: errAnswer}}
 	}
 	if err := checkAnswer(call.Operation, t.prev, answer.Body); err != nil {
 		return outcome{failure: &engine.Error{Kind: engine.Failed, Server: target.Server, Sent: true, Err: err}}
@@ -174,7 +174,7 @@
 		}
 		if ev.AttemptID != call.AttemptID {
 			droppedAnswers.Inc()
-			failure := &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errAnswer}
+			failure := &engine.Error{Kind: engine.WrongAttempt, Server: target.Server, Sent: true, Err: errAnswer}
 			return outcome{answer: engine.Answer{FirstByte: first}, failure: failure}
 		}
 		if ev.End {
@@ -341,7 +341,7 @@
 
 // stillRuns reports whether the server may go on with a call that failed in this way.
 func stillRuns(k engine.Kind) bool {
-	return k == engine.Canceled || k == engine.Silent || k == engine.Truncated || k == engine.Crossed
+	return k == engine.Canceled || k == engine.Silent || k == engine.Truncated || k == engine.WrongAttempt
 }
 
 // cancelAtEngine stops the attempt at the server, in the background.
--- a/pkg/executor/machine.go
+++ b/pkg/executor/machine.go
@@ -167,7 +167,7 @@
 	}
 	if ev.Index >= 0 && ev.Index < len(m.tokens) {
 		if m.tokens[ev.Index] != ev.Text {
-			m.broken(now, id, engine.Crossed)
+			m.broken(now, id, engine.WrongAttempt)
 			return m.take()
 		}
 		m.dropped++
--- a/pkg/executor/pair.go
+++ b/pkg/executor/pair.go
@@ -139,7 +139,7 @@
 	}
 	if answer.AttemptID != call.AttemptID {
 		droppedAnswers.Inc()
-		return outcome{failure: &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errAnswer}}
+		return outcome{failure: &engine.Error{Kind: engine.WrongAttempt, Server: target.Server, Sent: true, Err: errAnswer}}
 	}
 	y.next(nil, false)
 	y.kv, err = y.r.e.opts.Engine.ExportKV(y.ctx, target, call.AttemptID)
