--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -28,8 +28,8 @@
 	Avoid []string
 	// Alone asks for a server that runs no other call at the same time.
 	Alone bool
-	// Spare asks for a slot only if no waiting call needs it; otherwise the request is refused immediately.
-	Spare bool
+	// SpareOnly asks for a slot only if no waiting call needs it; otherwise the request is refused immediately.
+	SpareOnly bool
 	// Deadline is the time by which the call must have ended.
 	Deadline time.Time
 }
--- a/pkg/executor/attempt.go
+++ b/pkg/executor/attempt.go
@@ -235,7 +235,7 @@
 		Prefix:       t.prefix(),
 		Avoid:        t.spec.avoid,
 		Alone:        t.spec.alone,
-		Spare:        t.spec.hedge,
+		SpareOnly:    t.spec.hedge,
 		Deadline:     t.spec.cut,
 	}
 }
--- a/pkg/executor/pair.go
+++ b/pkg/executor/pair.go
@@ -39,7 +39,7 @@
 	}
 	r := t.slotRequest()
 	r.Role = other
-	r.Spare = true
+	r.SpareOnly = true
 	r.Avoid = append(slices.Clone(r.Avoid), target.Server)
 	found, err := t.r.e.opts.Slots.Acquire(t.ctx, r)
 	if err != nil {
--- a/pkg/executor/relaybench_test.go
+++ b/pkg/executor/relaybench_test.go
@@ -56,7 +56,7 @@
 		if s := f.take(r.Role); s != nil {
 			return s, nil
 		}
-		if r.Spare {
+		if r.SpareOnly {
 			return nil, apierr.New(503, apierr.NoCapacity, "nothing to spare")
 		}
 		select {
--- a/pkg/executor/world_test.go
+++ b/pkg/executor/world_test.go
@@ -131,7 +131,7 @@
 		case <-ctx.Done():
 			return nil, apierr.New(503, apierr.NoCapacity, "gave up waiting")
 		}
-		if r.Spare && r.Role != "" && (refuse || w.full(r)) {
+		if r.SpareOnly && r.Role != "" && (refuse || w.full(r)) {
 			return nil, apierr.New(503, apierr.NoCapacity, "nothing to spare")
 		}
 		if refuse && first {
--- a/pkg/slots/late_test.go
+++ b/pkg/slots/late_test.go
@@ -84,7 +84,7 @@
 		c := newCluster(t, 1, 1, 1)
 		held := c.fill()
 		spare := request("o", time.Minute)
-		spare.Spare = true
+		spare.SpareOnly = true
 		begin := time.Now()
 		_, err := c.entries[0].Acquire(context.Background(), spare)
 		var e *apierr.Error
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -106,7 +106,7 @@
 			return sl, nil
 		}
 	}
-	if r.Spare {
+	if r.SpareOnly {
 		s.mu.Unlock()
 		return nil, refusal(r.Pool, "has no room to spare", 0)
 	}
