--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -57,8 +57,8 @@
 	// Abandoned is true when the call was cancelled because its result was no longer needed: another hedged attempt won,
 	// or the client disconnected.
 	Abandoned bool
-	// Part is true for a part of a call, whose times can't be compared with those of other servers in the pool.
-	Part bool
+	// Partial is true for a part of a call, whose times can't be compared with those of other servers in the pool.
+	Partial bool
 }
 
 // Slots allocates slots. Acquire blocks until a slot is free, the context is cancelled or the deadline passes. Its
--- a/pkg/executor/account.go
+++ b/pkg/executor/account.go
@@ -35,7 +35,7 @@
 		// Before the slot goes to the next request, which must not be taken for a neighbour.
 		finish()
 	}
-	report := dispatch.Report{FirstToken: o.answer.FirstByte, Total: took, Abandoned: t.abandoned(o), Part: w.part}
+	report := dispatch.Report{FirstToken: o.answer.FirstByte, Total: took, Abandoned: t.abandoned(o), Partial: w.part}
 	if o.failure != nil {
 		report.Err = o.failure
 	}
--- a/pkg/slots/outcome_test.go
+++ b/pkg/slots/outcome_test.go
@@ -33,7 +33,7 @@
 
 // TestPartOfACallTellsNothingOfSpeed keeps the halves of a hand-over out of the comparison within the pool.
 func TestPartOfACallTellsNothingOfSpeed(t *testing.T) {
-	r := dispatch.Report{FirstToken: time.Second, Total: time.Minute, Part: true}
+	r := dispatch.Report{FirstToken: time.Second, Total: time.Minute, Partial: true}
 	require.Zero(t, latency(r))
 	require.Zero(t, outcome(r).FirstToken)
 	require.True(t, outcome(r).OK)
--- a/pkg/slots/slot.go
+++ b/pkg/slots/slot.go
@@ -81,7 +81,7 @@
 func latency(r dispatch.Report) routing.Latency {
 	var e *engine.Error
 	switch {
-	case r.Part:
+	case r.Partial:
 		return routing.Latency{}
 	case r.FirstToken > 0:
 		return routing.Latency{Time: r.FirstToken}
@@ -96,7 +96,7 @@
 // outcome classes a call's end for the grantor.
 func outcome(r dispatch.Report) grant.Outcome {
 	o := grant.Outcome{OK: r.Err == nil, FirstToken: r.FirstToken, Neutral: r.Abandoned}
-	if r.Part {
+	if r.Partial {
 		o.FirstToken = 0
 	}
 	var e *engine.Error
