--- a/pkg/engine/openai/call.go
+++ b/pkg/engine/openai/call.go
@@ -93,7 +93,7 @@
 }
 
 // maxDiscardedConns is the maximum number of connections that one call discards because they are too old or lead to
-// another incarnation. Before the last try, all idle connections are closed.
+// another incarnation. Before the last try, all idle connections are closed, so that it gets a new one.
 const maxDiscardedConns = 4
 
 // send sends the request over a connection that is below the age limit and leads to the target's incarnation.
@@ -126,7 +126,7 @@
 	}
 }
 
-// reportNotice reports to Options.OnNotice when a response says that its server is leaving or wants no calls for a time.
+// reportNotice calls Options.OnNotice when a response says that its server is leaving or wants no calls for a time.
 func (c *Client) reportNotice(t engine.Target, resp *http.Response) {
 	n := holdoff.Parse(resp.StatusCode, resp.Header, HeaderLeaving)
 	if c.opts.OnNotice != nil && !n.Empty() {
--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -103,6 +103,7 @@
 	claims int
 }
 
+// processKey identifies a process.
 type processKey struct {
 	holder      string
 	incarnation string
@@ -126,8 +127,9 @@
 	watermark int64
 	// contentTypes interns content types, so that claims share one copy of each.
 	contentTypes map[string]string
-	maxClaims    int
-	maxBodies    int
+	// maxClaims and maxBodies are MaxClaims and MaxBodies, except in tests.
+	maxClaims int
+	maxBodies int
 }
 
 // New returns an empty Ledger.
@@ -181,7 +183,7 @@
 }
 
 // result returns the claim's state at time nowMs. A pending claim is reported as unknown once its deadline has passed
-// or its holder has made a claim in another incarnation. The holder may still complete it after that.
+// or its holder has made a claim in another incarnation. It stays unknown unless that holder still completes it.
 func (c *claim) result(nowMs int64) *daisyhatchv1.ClaimResult {
 	r := &daisyhatchv1.ClaimResult{State: c.state, Holder: c.process.holder}
 	switch c.state {
@@ -229,8 +231,8 @@
 	l.noteIncarnation(c.GetHolder(), c.GetIncarnation())
 }
 
-// noteIncarnation marks the latest incarnation of a holder. It scans all processes, since only a few
-// hold claims at any time.
+// noteIncarnation marks the latest incarnation of a holder. It scans all processes, since only a few hold
+// claims at any time.
 func (l *Ledger) noteIncarnation(holder, incarnation string) {
 	if p, ok := l.processes[processKey{holder, incarnation}]; ok && p.latest {
 		return
@@ -242,6 +244,7 @@
 	}
 }
 
+// processOf returns the process of a holder's incarnation, which it adds if it is new.
 func (l *Ledger) processOf(holder, incarnation string) *process {
 	k := processKey{holder, incarnation}
 	p, ok := l.processes[k]
--- a/pkg/ledger/ledger_test.go
+++ b/pkg/ledger/ledger_test.go
@@ -50,7 +50,7 @@
 
 // oracle is a reference model of the ledger that never drops a claim.
 type oracle struct {
-	runs map[Key]*grantedClaim
+	claims map[Key]*grantedClaim
 	// incarnation is the latest incarnation of each holder.
 	incarnation map[string]string
 	now         int64
@@ -74,15 +74,15 @@
 	return pending
 }
 
-// running reports whether a run's holder may still be running the request.
+// running reports whether the holder of a granted claim may still be running the request.
 func (o *oracle) running(r *grantedClaim) bool {
 	return !r.superseded && o.expect(r, r.claim) == granted
 }
 
-func (o *oracle) noteIncarnation(holder, process string) {
-	o.incarnation[holder] = process
-	for _, r := range o.runs {
-		if r.claim.GetHolder() == holder && r.claim.GetIncarnation() != process {
+func (o *oracle) noteIncarnation(holder, incarnation string) {
+	o.incarnation[holder] = incarnation
+	for _, r := range o.claims {
+		if r.claim.GetHolder() == holder && r.claim.GetIncarnation() != incarnation {
 			r.superseded = true
 		}
 	}
@@ -91,7 +91,7 @@
 func (o *oracle) checkClaim(t *rapid.T, l *Ledger, c *daisyhatchv1.ClaimCommand) {
 	o.noteIncarnation(c.GetHolder(), c.GetIncarnation())
 	k := Key{c.GetOrganisation(), c.GetKey()}
-	old := o.runs[k]
+	old := o.claims[k]
 	before := l.Len()
 	got, err := l.Claim(c, o.now)
 	require.NoError(t, err)
@@ -111,7 +111,7 @@
 	case got.GetState() == granted:
 		require.False(t, old != nil && (old.timed || age < RetentionMs), "key %v was granted twice", k)
 		created := c.GetCreatedUnixMs()
-		o.runs[k] = &grantedClaim{claim: c, accepted: o.now, timed: created > 0 && created <= o.now+ClockSlackMs, state: pending}
+		o.claims[k] = &grantedClaim{claim: c, accepted: o.now, timed: created > 0 && created <= o.now+ClockSlackMs, state: pending}
 	case got.GetState() == full:
 		require.GreaterOrEqual(t, before, maxClaims)
 	case got.GetState() == expired:
@@ -124,7 +124,7 @@
 
 func (o *oracle) checkComplete(t *rapid.T, l *Ledger, c *daisyhatchv1.CompleteCommand) {
 	k := Key{c.GetOrganisation(), c.GetKey()}
-	r := o.runs[k]
+	r := o.claims[k]
 	got, err := l.Complete(c, o.now)
 	require.NoError(t, err)
 	byHolder := r != nil && r.claim.GetHolder() == c.GetHolder() && r.claim.GetIncarnation() == c.GetIncarnation() &&
@@ -139,7 +139,7 @@
 	switch {
 	case c.GetNotRun():
 		require.Equal(t, pending, r.state, "a completed claim was removed")
-		delete(o.runs, k)
+		delete(o.claims, k)
 	case r.state == done:
 	case c.GetUnknown():
 		r.state = unknown
@@ -163,7 +163,7 @@
 	// Odd keys have a creation time, which stays the same when the claim is repeated.
 	if k%2 == 1 {
 		c.CreatedUnixMs = max(1, o.now-rapid.SampledFrom([]int64{0, 1000, MinRetentionMs, -MinRunMs}).Draw(t, "age"))
-		if old := o.runs[Key{"org", c.GetKey()}]; old != nil {
+		if old := o.claims[Key{"org", c.GetKey()}]; old != nil {
 			c.CreatedUnixMs = old.claim.GetCreatedUnixMs()
 		}
 	}
@@ -172,7 +172,7 @@
 
 func drawComplete(t *rapid.T, o *oracle) *daisyhatchv1.CompleteCommand {
 	c := &daisyhatchv1.CompleteCommand{Organisation: "org", Key: fmt.Sprint(rapid.IntRange(0, 13).Draw(t, "key"))}
-	if r := o.runs[Key{"org", c.GetKey()}]; r != nil {
+	if r := o.claims[Key{"org", c.GetKey()}]; r != nil {
 		c.Holder, c.Incarnation, c.Attempt = r.claim.GetHolder(), r.claim.GetIncarnation(), r.claim.GetAttempt()
 	}
 	switch rapid.IntRange(0, 9).Draw(t, "stranger") {
@@ -200,7 +200,7 @@
 func TestAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := withSmallLimits(New())
-		o := &oracle{runs: make(map[Key]*grantedClaim), incarnation: make(map[string]string), now: 10 * RetentionMs}
+		o := &oracle{claims: make(map[Key]*grantedClaim), incarnation: make(map[string]string), now: 10 * RetentionMs}
 		for range rapid.IntRange(50, 250).Draw(t, "steps") {
 			o.now += rapid.SampledFrom([]int64{0, 0, 500, 3000, MinRetentionMs / 2, MinRetentionMs}).Draw(t, "pass")
 			if rapid.IntRange(0, 30).Draw(t, "long pass") == 30 {
