--- a/pkg/grantservice/lease_renewal.go
+++ b/pkg/grantservice/lease_renewal.go
@@ -42,7 +42,7 @@
 func (s *Service) pollInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.grantor.Expecting(time.Now()) {
+	if s.grantor.ExpectsLease(time.Now()) {
 		return expectingPollInterval
 	}
 	return leasePollInterval
@@ -151,10 +151,10 @@
 	for i, shard := range shards {
 		r := results[i]
 		if !r.GetHeld() || r.GetConfigurationVersion() > version {
-			s.grantor.Lost(shard)
+			s.grantor.LeaseLost(shard)
 			continue
 		}
-		s.grantor.Renewed(shard, r.Fence, r.Fence == 1, asked, now)
+		s.grantor.LeaseRenewed(shard, r.Fence, r.Fence == 1, asked, now)
 	}
 	s.importLimits()
 }
--- a/pkg/slots/pool.go
+++ b/pkg/slots/pool.go
@@ -16,7 +16,7 @@
 
 // Parameters of demand and wait prediction.
 const (
-	// peakDecay is the factor applied to the peak demand after each period of grant.Renew.
+	// peakDecay is the factor applied to the peak demand after each period of grant.RenewInterval.
 	peakDecay = 0.8
 	// headroom is the share of the peak demand that is requested in addition to it.
 	headroom = 0.25
@@ -52,7 +52,7 @@
 	// supplies holds what each grantor last reported of the pool, keyed by the grantor's address.
 	supplies map[string]supply
 	// held and candidates are buffers reused by each routing decision; entry i of both is the same server.
-	held       []*grant.Held
+	held       []*grant.HeldGrant
 	candidates []routing.Candidate
 }
 
@@ -118,7 +118,7 @@
 	}
 	avoided := false
 	for range 2 {
-		h.From(p.name, rng.IntN(n), r.Alone, now, func(g *grant.Held) bool {
+		h.UsableFrom(p.name, rng.IntN(n), r.Alone, now, func(g *grant.HeldGrant) bool {
 			if !serves(g.Server, r) {
 				return true
 			}
@@ -131,7 +131,7 @@
 		})
 	}
 	if len(p.held) == 0 && avoided && !p.holdsOther(h, r, now) {
-		h.From(p.name, rng.IntN(n), r.Alone, now, func(g *grant.Held) bool {
+		h.UsableFrom(p.name, rng.IntN(n), r.Alone, now, func(g *grant.HeldGrant) bool {
 			if serves(g.Server, r) {
 				p.addCandidate(g)
 			}
@@ -149,14 +149,14 @@
 // server has a free unit.
 func (p *pool) holdsOther(h *grant.Holder, r *dispatch.SlotRequest, now time.Time) bool {
 	found := false
-	h.Each(p.name, now, func(g *grant.Held) {
+	h.Each(p.name, now, func(g *grant.HeldGrant) {
 		found = found || serves(g.Server, r) && !slices.Contains(r.Avoid, g.Server.Server)
 	})
 	return found
 }
 
 // addCandidate adds a server to p.held and p.candidates.
-func (p *pool) addCandidate(g *grant.Held) {
+func (p *pool) addCandidate(g *grant.HeldGrant) {
 	p.held = append(p.held, g)
 	p.candidates = append(p.candidates, routing.Candidate{
 		Server: g.Server.Server, FailureDomain: g.Server.FailureDomain,
@@ -224,7 +224,7 @@
 	}
 	parts := p.shares(grantors, want, now)
 	missing := want
-	h.Each(p.name, now, func(g *grant.Held) { missing -= g.Units })
+	h.Each(p.name, now, func(g *grant.HeldGrant) { missing -= g.Units })
 	out := make([]grant.Demand, len(grantors))
 	for i, g := range grantors {
 		out[i] = grant.Demand{Pool: p.name, Units: parts[i], Exclusive: alone}
@@ -293,7 +293,7 @@
 // at the moment will be granted soon. It returns 0 when nothing is known.
 func (p *pool) expectedUnits(h *grant.Holder, now time.Time) int {
 	units := 0
-	h.Each(p.name, now, func(g *grant.Held) {
+	h.Each(p.name, now, func(g *grant.HeldGrant) {
 		if !g.Exclusive {
 			units += g.Units
 		}
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -152,7 +152,7 @@
 		stop := c.runWorkers(8, 20*time.Millisecond)
 		time.Sleep(15 * time.Second)
 		c.kill("c1")
-		time.Sleep(grant.LeaseTTL + grant.QuietPeriod + 2*grant.AnnounceEvery + 2*time.Second)
+		time.Sleep(grant.LeaseTTL + grant.QuietPeriod + 2*grant.BaseAnnounceInterval + 2*time.Second)
 		back := time.Now()
 		time.Sleep(3 * time.Second)
 		for s, at := range c.starts().lastStart {
@@ -182,7 +182,7 @@
 			}
 		}
 		t.Logf("longest wait %v", longest)
-		require.LessOrEqual(t, longest, grant.RenewContended+100*time.Millisecond+50*time.Millisecond)
+		require.LessOrEqual(t, longest, grant.ContendedRenewInterval+100*time.Millisecond+50*time.Millisecond)
 		c.close()
 	})
 }
@@ -190,10 +190,10 @@
 // TestManyGrantorsAreAskedLessOften uses the number of grantors that the system is designed for. Calls must not be
 // delayed although each grantor is asked only about once a second.
 func TestManyGrantorsAreAskedLessOften(t *testing.T) {
-	require.Equal(t, grant.Renew, slots.AskInterval(3))
+	require.Equal(t, grant.RenewInterval, slots.AskInterval(3))
 	const grantors = 22
 	require.LessOrEqual(t, slots.AskInterval(grantors), grant.TTL*2/3, "too little of a grant's lifetime is left for the response")
-	require.Greater(t, slots.AskInterval(grantors), grant.Renew)
+	require.Greater(t, slots.AskInterval(grantors), grant.RenewInterval)
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, grantors, 2, 66)
 		warm := c.runWorkers(12, 20*time.Millisecond)
