--- a/pkg/executor/machine.go
+++ b/pkg/executor/machine.go
@@ -319,7 +319,7 @@
 	for _, i := range m.plan.Steps[m.step] {
 		s := &m.stages[i]
 		s.began = now
-		s.cutoff = share.Cut
+		s.cutoff = share.Cutoff
 		s.target = share.Target
 		m.policy.recordFirstAttempt(now)
 		m.startAttempt(now, i, false)
