--- a/pkg/engine/openai/stream.go
+++ b/pkg/engine/openai/stream.go
@@ -12,7 +12,7 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// maxEventLine bounds one line of a stream in bytes.
+// maxEventLine is the maximum size in bytes of a line, and of an event's data, in a stream.
 const maxEventLine = 1 << 20
 
 // Stream implements engine.Client.
@@ -27,7 +27,7 @@
 		from, err := strconv.Atoi(h)
 		if err != nil || from < 0 || from > call.ResumeFrom {
 			x.finish()
-			return nil, x.wrong(engine.Crossed, fmt.Errorf("resumed from %q, asked for %d", h, call.ResumeFrom))
+			return nil, x.responseError(engine.WrongAttempt, fmt.Errorf("server resumed from token %q, expected at most %d", h, call.ResumeFrom))
 		}
 		s.next = from
 	}
@@ -38,15 +38,16 @@
 type stream struct {
 	x     *exchange
 	lines *bufio.Scanner
-	// id is the completion ID that all chunks must share.
+	// id is the completion ID of the first chunk that has one; later chunks must have the same.
 	id string
-	// next is the index of the next token of a server that gives none.
+	// next is the index of the next token if the server sends no index.
 	next  int
 	ended bool
 	err   error
 }
 
-// Next implements engine.Stream. A token that comes twice is returned twice, with its own index.
+// Next implements engine.Stream. A token that the server sends twice is returned twice, each time with the
+// index that the server sent.
 func (s *stream) Next(ctx context.Context) (engine.Event, error) {
 	if s.ended {
 		return engine.Event{}, io.EOF
@@ -58,7 +59,7 @@
 		stop := context.AfterFunc(ctx, func() { s.x.cancel(context.Canceled) })
 		defer stop()
 	}
-	ev, err := s.read()
+	ev, err := s.readEvent()
 	if err != nil {
 		s.err = err
 		return engine.Event{}, err
@@ -73,16 +74,16 @@
 	return nil
 }
 
-// read returns the next event that holds a token, a finish reason, usage or the end mark.
-func (s *stream) read() (engine.Event, error) {
+// readEvent returns the next event that has text, a finish reason, usage or the end marker.
+func (s *stream) readEvent() (engine.Event, error) {
 	for {
-		data, err := s.data()
+		data, err := s.readData()
 		if err != nil {
 			return engine.Event{}, err
 		}
 		c, end, err := decodeChunk(data)
 		if err != nil {
-			return engine.Event{}, s.x.wrong(engine.Failed, err)
+			return engine.Event{}, s.x.responseError(engine.Failed, err)
 		}
 		if end {
 			return engine.Event{AttemptID: s.x.call.AttemptID, Index: s.next, End: true}, nil
@@ -91,9 +92,9 @@
 			return engine.Event{}, err
 		}
 		if c.Daisyhatch != nil && c.Daisyhatch.Index != nil && *c.Daisyhatch.Index < 0 {
-			return engine.Event{}, s.x.wrong(engine.Failed, errors.New("negative token index"))
+			return engine.Event{}, s.x.responseError(engine.Failed, errors.New("negative token index"))
 		}
-		if ev, ok := s.event(c); ok {
+		if ev, ok := s.toEvent(c); ok {
 			return ev, nil
 		}
 	}
@@ -101,7 +102,7 @@
 
 func (s *stream) checkID(c chunk) error {
 	if c.Daisyhatch != nil && c.Daisyhatch.Attempt != "" && c.Daisyhatch.Attempt != s.x.call.AttemptID {
-		return s.x.wrong(engine.Crossed, fmt.Errorf("event of attempt %q", c.Daisyhatch.Attempt))
+		return s.x.responseError(engine.WrongAttempt, fmt.Errorf("event belongs to attempt %q", c.Daisyhatch.Attempt))
 	}
 	if c.ID == "" {
 		return nil
@@ -110,13 +111,13 @@
 		s.id = c.ID
 	}
 	if c.ID != s.id {
-		return s.x.wrong(engine.Crossed, fmt.Errorf("event of completion %q in that of %q", c.ID, s.id))
+		return s.x.responseError(engine.WrongAttempt, fmt.Errorf("event belongs to completion %q, expected %q", c.ID, s.id))
 	}
 	return nil
 }
 
-// event turns a chunk into an event; ok is false when the chunk says nothing of use.
-func (s *stream) event(c chunk) (ev engine.Event, ok bool) {
+// toEvent converts a chunk to an event; ok is false when the chunk has no text, finish reason or usage.
+func (s *stream) toEvent(c chunk) (ev engine.Event, ok bool) {
 	ev = engine.Event{AttemptID: s.x.call.AttemptID, Index: s.next}
 	if c.Usage != nil {
 		ev.Usage = c.Usage.usage()
@@ -136,8 +137,8 @@
 	return ev, ok || ev.Text != "" || ev.FinishReason != ""
 }
 
-// data returns the data of the next server-sent event.
-func (s *stream) data() ([]byte, error) {
+// readData returns the data of the next server-sent event.
+func (s *stream) readData() ([]byte, error) {
 	var data []byte
 	for s.lines.Scan() {
 		line := s.lines.Bytes()
@@ -156,12 +157,12 @@
 		}
 		data = append(data, bytes.TrimPrefix(value, []byte(" "))...)
 		if len(data) > maxEventLine {
-			return nil, s.x.wrong(engine.Failed, errors.New("event too large"))
+			return nil, s.x.responseError(engine.Failed, errors.New("event too large"))
 		}
 	}
 	err := s.lines.Err()
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return nil, s.x.fail(fmt.Errorf("read stream: %w", err))
+	return nil, s.x.transportError(fmt.Errorf("read stream: %w", err))
 }
--- a/pkg/executor/accounting.go
+++ b/pkg/executor/accounting.go
@@ -37,7 +37,7 @@
 		// counted as running beside this one.
 		finish()
 	}
-	report := dispatch.Report{FirstToken: o.answer.FirstByte, Total: took, Abandoned: t.wasCancelled(o), Part: c.partial}
+	report := dispatch.Report{FirstToken: o.answer.FirstByte, Total: took, Abandoned: t.wasCancelled(o), Partial: c.partial}
 	if o.failure != nil {
 		report.Err = o.failure
 	}
--- a/pkg/executor/attempt.go
+++ b/pkg/executor/attempt.go
@@ -150,7 +150,7 @@
 	}
 	if answer.AttemptID != call.AttemptID {
 		droppedAnswers.Inc()
-		return outcome{failure: &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errBadAnswer}}
+		return outcome{failure: &engine.Error{Kind: engine.WrongAttempt, Server: target.Server, Sent: true, Err: errBadAnswer}}
 	}
 	if err := checkAnswer(call.Operation, t.prev, answer.Body); err != nil {
 		return outcome{failure: &engine.Error{Kind: engine.Failed, Server: target.Server, Sent: true, Err: err}}
@@ -174,7 +174,7 @@
 		}
 		if ev.AttemptID != call.AttemptID {
 			droppedAnswers.Inc()
-			failure := &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errBadAnswer}
+			failure := &engine.Error{Kind: engine.WrongAttempt, Server: target.Server, Sent: true, Err: errBadAnswer}
 			return outcome{answer: engine.Answer{FirstByte: first}, failure: failure}
 		}
 		if ev.End {
@@ -237,7 +237,7 @@
 		Prefix:       t.prefix(),
 		Avoid:        t.spec.avoid,
 		Alone:        t.spec.alone,
-		Spare:        t.spec.hedge,
+		SpareOnly:    t.spec.hedge,
 		Deadline:     t.spec.cutoff,
 	}
 }
@@ -346,7 +346,7 @@
 
 // mayStillRun reports whether the server may still be working on a call that failed in this way.
 func mayStillRun(k engine.Kind) bool {
-	return k == engine.Canceled || k == engine.Silent || k == engine.Truncated || k == engine.Crossed
+	return k == engine.Canceled || k == engine.Silent || k == engine.Truncated || k == engine.WrongAttempt
 }
 
 // cancelAtEngine cancels the attempt at the server, in the background.
--- a/pkg/executor/handover_runner.go
+++ b/pkg/executor/handover_runner.go
@@ -41,7 +41,7 @@
 	}
 	r := t.slotRequest()
 	r.Role = other
-	r.Spare = true
+	r.SpareOnly = true
 	r.Avoid = append(slices.Clone(r.Avoid), target.Server)
 	found, err := t.r.e.opts.Slots.Acquire(t.ctx, r)
 	if err != nil {
@@ -147,7 +147,7 @@
 	}
 	if answer.AttemptID != call.AttemptID {
 		droppedAnswers.Inc()
-		return outcome{failure: &engine.Error{Kind: engine.Crossed, Server: target.Server, Sent: true, Err: errBadAnswer}}
+		return outcome{failure: &engine.Error{Kind: engine.WrongAttempt, Server: target.Server, Sent: true, Err: errBadAnswer}}
 	}
 	h.advance(nil, false)
 	h.kv, err = h.r.e.opts.Engine.ExportKV(h.ctx, target, call.AttemptID)
--- a/pkg/slots/slot.go
+++ b/pkg/slots/slot.go
@@ -84,7 +84,7 @@
 func latency(r dispatch.Report) routing.Latency {
 	var e *engine.Error
 	switch {
-	case r.Part:
+	case r.Partial:
 		return routing.Latency{}
 	case r.FirstToken > 0:
 		return routing.Latency{Time: r.FirstToken}
@@ -99,7 +99,7 @@
 // outcome converts a call's report for the grant holder.
 func outcome(r dispatch.Report) grant.Outcome {
 	o := grant.Outcome{OK: r.Err == nil, FirstToken: r.FirstToken, Neutral: r.Abandoned}
-	if r.Part {
+	if r.Partial {
 		o.FirstToken = 0
 	}
 	var e *engine.Error
