--- a/pkg/engine/openai/control.go
+++ b/pkg/engine/openai/control.go
@@ -17,16 +17,16 @@
 	"github.com/daisyhatch/daisyhatch/pkg/engine"
 )
 
-// Limits of control calls.
+// Response limits in bytes and the content encoding of control calls.
 const (
-	maxControlAnswer = 1 << 20
-	// maxKV bounds in bytes the handle by which a KV cache is exported.
-	maxKV = 1 << 20
-	// encodingGzip names the compression of answers.
+	// maxControlResponse is the maximum size of a JSON response.
+	maxControlResponse = 1 << 20
+	// maxKV is the maximum size in bytes of an exported KV cache handle.
+	maxKV        = 1 << 20
 	encodingGzip = "gzip"
 )
 
-// LoadReport is the body of a load report.
+// LoadReport is the response body of PathLoad. See engine.Load for the fields.
 type LoadReport struct {
 	AgeMS    int64 `json:"age_ms"`
 	Running  int   `json:"running"`
@@ -35,12 +35,12 @@
 	Cold     bool  `json:"cold"`
 }
 
-// CacheReport is the body of a read of cache events.
+// CacheReport is the response body of PathCache.
 type CacheReport struct {
 	Events []CacheReportEvent `json:"events"`
 }
 
-// CacheReportEvent is one cache event.
+// CacheReportEvent is the JSON form of an engine.CacheEvent.
 type CacheReportEvent struct {
 	Sequence uint64   `json:"sequence"`
 	Stored   []uint64 `json:"stored,omitempty"`
@@ -48,7 +48,7 @@
 	Cleared  bool     `json:"cleared,omitempty"`
 }
 
-// OrderBody is the body of an order and of what is read back.
+// OrderBody is the request and response body of PathOrders.
 type OrderBody struct {
 	ID    string `json:"id,omitempty"`
 	Kind  string `json:"kind"`
@@ -56,14 +56,14 @@
 	Fence uint64 `json:"fence"`
 }
 
-// CancelBody is the body of a cancel.
+// CancelBody is the request body of PathCancel.
 type CancelBody struct {
 	Attempt string `json:"attempt"`
 }
 
 // Cancel implements engine.Client.
 func (c *Client) Cancel(ctx context.Context, t engine.Target, attemptID string) error {
-	r := control{method: http.MethodPost, path: PathCancel, in: CancelBody{Attempt: attemptID}}
+	r := controlCall{method: http.MethodPost, path: PathCancel, in: CancelBody{Attempt: attemptID}}
 	err := c.control(ctx, t, r)
 	var e *engine.Error
 	if errors.As(err, &e) && e.Status == http.StatusNotFound {
@@ -75,7 +75,7 @@
 // Load implements engine.Client.
 func (c *Client) Load(ctx context.Context, t engine.Target) (engine.Load, error) {
 	var v LoadReport
-	if err := c.control(ctx, t, control{method: http.MethodGet, path: PathLoad, out: &v}); err != nil {
+	if err := c.control(ctx, t, controlCall{method: http.MethodGet, path: PathLoad, out: &v}); err != nil {
 		return engine.Load{}, err
 	}
 	return engine.Load{
@@ -92,8 +92,8 @@
 	var v CacheReport
 	var size int
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}, "limit": {strconv.Itoa(limit)}}
-	r := control{
-		method: http.MethodGet, path: PathCache + "?" + query.Encode(), out: &v, most: engine.MaxCachePage, size: &size, compressed: true,
+	r := controlCall{
+		method: http.MethodGet, path: PathCache + "?" + query.Encode(), out: &v, maxBytes: engine.MaxCachePage, size: &size, compressed: true,
 	}
 	if err := c.control(ctx, t, r); err != nil {
 		return engine.CachePage{}, err
@@ -109,7 +109,7 @@
 // Order implements engine.Client.
 func (c *Client) Order(ctx context.Context, t engine.Target, o engine.Order) (engine.OrderState, error) {
 	var v OrderBody
-	r := control{method: http.MethodPost, path: PathOrders, in: OrderBody(o), out: &v}
+	r := controlCall{method: http.MethodPost, path: PathOrders, in: OrderBody(o), out: &v}
 	if err := c.control(ctx, t, r); err != nil {
 		return engine.OrderState{}, err
 	}
@@ -119,7 +119,7 @@
 // ReadOrder implements engine.Client.
 func (c *Client) ReadOrder(ctx context.Context, t engine.Target, kind string) (engine.OrderState, error) {
 	var v OrderBody
-	r := control{method: http.MethodGet, path: PathOrders + "?kind=" + url.QueryEscape(kind), out: &v}
+	r := controlCall{method: http.MethodGet, path: PathOrders + "?kind=" + url.QueryEscape(kind), out: &v}
 	if err := c.control(ctx, t, r); err != nil {
 		return engine.OrderState{}, err
 	}
@@ -129,13 +129,13 @@
 // ExportKV implements engine.Client.
 func (c *Client) ExportKV(ctx context.Context, t engine.Target, attemptID string) ([]byte, error) {
 	var data []byte
-	err := c.control(ctx, t, control{method: http.MethodGet, path: kvPath(attemptID), rawOut: &data})
+	err := c.control(ctx, t, controlCall{method: http.MethodGet, path: kvPath(attemptID), rawOut: &data})
 	return data, err
 }
 
 // ImportKV implements engine.Client.
 func (c *Client) ImportKV(ctx context.Context, t engine.Target, attemptID string, data []byte) error {
-	return c.control(ctx, t, control{method: http.MethodPut, path: kvPath(attemptID), rawIn: data})
+	return c.control(ctx, t, controlCall{method: http.MethodPut, path: kvPath(attemptID), rawIn: data})
 }
 
 func kvPath(attemptID string) string {
@@ -144,33 +144,33 @@
 
 // Probe implements engine.Client.
 func (c *Client) Probe(ctx context.Context, t engine.Target) error {
-	return c.control(ctx, t, control{method: http.MethodGet, path: PathHealth, probe: true})
+	return c.control(ctx, t, controlCall{method: http.MethodGet, path: PathHealth, newConnection: true})
 }
 
-// control is one call beside the stage calls. Bodies are JSON, or raw bytes.
-type control struct {
+// controlCall is a call to a server other than a stage call. Bodies are JSON (in, out) or raw bytes (rawIn, rawOut).
+type controlCall struct {
 	method string
 	path   string
 	in     any
 	out    any
 	rawIn  []byte
 	rawOut *[]byte
-	// most bounds the answer's body in bytes; 0 takes the bound of its form.
-	most int
-	// size is set to the length of the answer's body as sent.
+	// maxBytes is the maximum size of the response body in bytes; 0 uses the limit for raw or JSON bodies.
+	maxBytes int
+	// size, if not nil, receives the transmitted size of the response body in bytes.
 	size *int
-	// compressed asks for a compressed answer.
+	// compressed requests a gzip-compressed response.
 	compressed bool
-	// probe asks for a new connection.
-	probe bool
+	// newConnection sends the call on a new connection, without asking for the incarnation first.
+	newConnection bool
 }
 
-func (c *Client) control(ctx context.Context, t engine.Target, r control) error {
+func (c *Client) control(ctx context.Context, t engine.Target, r controlCall) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProgressTimeout)
 	defer cancel()
-	s := &sending{begun: time.Now(), maxAge: c.opts.MaxConnAge}
+	s := &sendTracker{startedAt: time.Now(), maxAge: c.opts.MaxConnAge}
 	traced := httptrace.WithClientTrace(ctx, s.trace())
-	if !r.probe {
+	if !r.newConnection {
 		traced = withIdentify(traced, t)
 	}
 	req, err := r.request(traced, t)
@@ -178,15 +178,15 @@
 		return &engine.Error{Kind: engine.Rejected, Server: t.Server, Err: err}
 	}
 	client := c.http
-	if r.probe {
-		client = c.probe
+	if r.newConnection {
+		client = c.noKeepAlive
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return controlError(ctx, t, s.giveUp(), err)
+		return controlError(ctx, t, s.abandon(), err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	c.noticed(t, resp)
+	c.reportNotice(t, resp)
 	body, err := r.read(resp)
 	if err != nil {
 		return controlError(ctx, t, true, err)
@@ -197,7 +197,7 @@
 	return r.decode(t, body)
 }
 
-func (r control) request(ctx context.Context, t engine.Target) (*http.Request, error) {
+func (r controlCall) request(ctx context.Context, t engine.Target) (*http.Request, error) {
 	body := r.rawIn
 	if r.in != nil {
 		b, err := json.Marshal(r.in)
@@ -206,7 +206,7 @@
 		}
 		body = b
 	}
-	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+t.Address+r.path, oneShot{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+t.Address+r.path, oneShotBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, fmt.Errorf("build control call: %w", err)
 	}
@@ -220,32 +220,33 @@
 	return req, nil
 }
 
-// counted counts the bytes read.
-type counted struct {
+// countingReader is a reader that counts the bytes read.
+type countingReader struct {
 	io.Reader
 	n int
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.Reader.Read(p)
 	c.n += n
 	return n, err
 }
 
-// read reads the answer's body, decompressed if it must be, to one byte above the limit.
-func (r control) read(resp *http.Response) ([]byte, error) {
-	sent := &counted{Reader: resp.Body}
+// read reads and if necessary decompresses the response body, up to one byte above the limit so that decode can detect
+// a body that is too large.
+func (r controlCall) read(resp *http.Response) ([]byte, error) {
+	sent := &countingReader{Reader: resp.Body}
 	var body io.Reader = sent
 	if r.compressed && resp.Header.Get("Content-Encoding") == encodingGzip {
 		z, err := gzip.NewReader(sent)
 		if err != nil {
-			return nil, fmt.Errorf("decompress answer: %w", err)
+			return nil, fmt.Errorf("decompress response: %w", err)
 		}
 		body = z
 	}
 	b, err := io.ReadAll(io.LimitReader(body, int64(r.limit())+1))
 	if err != nil {
-		return nil, fmt.Errorf("read answer: %w", err)
+		return nil, fmt.Errorf("read response: %w", err)
 	}
 	if r.size != nil {
 		*r.size = sent.n
@@ -253,26 +254,26 @@
 	return b, nil
 }
 
-// limit returns the longest body that is taken in bytes.
-func (r control) limit() int {
+// limit returns the maximum response body size in bytes.
+func (r controlCall) limit() int {
 	switch {
-	case r.most > 0:
-		return r.most
+	case r.maxBytes > 0:
+		return r.maxBytes
 	case r.rawOut != nil:
 		return maxKV
 	}
-	return maxControlAnswer
+	return maxControlResponse
 }
 
-func (r control) check(t engine.Target, resp *http.Response, body []byte) error {
+func (r controlCall) check(t engine.Target, resp *http.Response, body []byte) error {
 	got := resp.Header.Get(HeaderIncarnation)
 	if got != "" && t.Incarnation != "" && got != t.Incarnation {
-		return &engine.Error{Kind: engine.Crashed, Server: t.Server, Sent: true, Err: fmt.Errorf("incarnation is %q now", got)}
+		return &engine.Error{Kind: engine.Crashed, Server: t.Server, Sent: true, Err: fmt.Errorf("server now has incarnation %q", got)}
 	}
 	if resp.StatusCode/100 == 2 {
 		return nil
 	}
-	e := &engine.Error{Kind: kindOf(resp.StatusCode), Server: t.Server, Sent: true, Status: resp.StatusCode}
+	e := &engine.Error{Kind: kindOfStatus(resp.StatusCode), Server: t.Server, Sent: true, Status: resp.StatusCode}
 	if resp.StatusCode == http.StatusConflict {
 		e.Kind = engine.Stale
 	}
@@ -281,9 +282,9 @@
 	return e
 }
 
-func (r control) decode(t engine.Target, body []byte) error {
+func (r controlCall) decode(t engine.Target, body []byte) error {
 	if len(body) > r.limit() {
-		return &engine.Error{Kind: engine.Failed, Server: t.Server, Sent: true, Err: errors.New("answer too large")}
+		return &engine.Error{Kind: engine.Failed, Server: t.Server, Sent: true, Err: errors.New("response too large")}
 	}
 	if r.rawOut != nil {
 		*r.rawOut = body
@@ -293,7 +294,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, r.out); err != nil {
-		return &engine.Error{Kind: engine.Failed, Server: t.Server, Sent: true, Err: fmt.Errorf("decode answer: %w", err)}
+		return &engine.Error{Kind: engine.Failed, Server: t.Server, Sent: true, Err: fmt.Errorf("decode response: %w", err)}
 	}
 	return nil
 }
@@ -305,9 +306,9 @@
 		e.Kind = engine.Silent
 	case ctx.Err() != nil:
 		e.Kind = engine.Canceled
-	case refused(err):
+	case isRefused(err):
 		e.Kind = engine.Refused
-	case timedOut(err):
+	case isTimeout(err):
 		e.Kind = engine.Silent
 	default:
 		e.Kind = engine.Crashed
--- a/pkg/engine/openai/sent_test.go
+++ b/pkg/engine/openai/sent_test.go
@@ -23,8 +23,8 @@
 
 var errDial = errors.New("dial")
 
-// service calls a plain service.
-func service(method string, body string) engine.Call {
+// httpCall returns a call to a plain HTTP service.
+func httpCall(method string, body string) engine.Call {
 	return engine.Call{AttemptID: "a-1", Operation: engine.HTTP, Method: method, Path: "/book", Body: []byte(body)}
 }
 
@@ -42,14 +42,14 @@
 	return c
 }
 
-// wire is a connection that fails as told and counts what was written.
-type wire struct {
+// limitedConn is a connection that fails writes beyond limit bytes and counts the bytes written.
+type limitedConn struct {
 	net.Conn
 	limit   int
 	written *atomic.Int64
 }
 
-func (w wire) Write(p []byte) (int, error) {
+func (w limitedConn) Write(p []byte) (int, error) {
 	n := min(len(p), w.limit)
 	w.written.Add(int64(n))
 	if n < len(p) {
@@ -58,14 +58,14 @@
 	return w.Conn.Write(p)
 }
 
-func TestSentIsFalseOnlyWhenNothingLeft(t *testing.T) {
+func TestSentIsFalseOnlyWhenNothingWritten(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s"})
 	for _, tc := range []struct {
 		name string
 		dial func(written *atomic.Int64) func(context.Context, string, string) (net.Conn, error)
 		kind engine.Kind
 		sent bool
-		// connect is the connect timeout; 0 takes the client's own.
+		// connect is the connect timeout; 0 uses the default.
 		connect time.Duration
 	}{
 		{"refused", func(*atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
@@ -80,23 +80,23 @@
 		{"write error after a partial send", func(written *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
 			return func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-				return wire{conn, 10, written}, err
+				return limitedConn{conn, 10, written}, err
 			}
 		}, engine.Crashed, true, 0},
 		{"write error before the first byte", func(written *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
 			return func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-				return wire{conn, 0, written}, err
+				return limitedConn{conn, 0, written}, err
 			}
 		}, engine.Crashed, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var written atomic.Int64
 			c := newClient(t, openai.Options{ConnectTimeout: tc.connect, Dial: tc.dial(&written)})
-			// The connection carries the call's bytes alone.
+			// Without the incarnation capability, the call's bytes are the only ones on the connection.
 			target := s.Target()
 			target.Capabilities = []string{openai.CapabilityAttemptID}
-			_, err := c.Call(t.Context(), target, service(http.MethodPost, "book"))
+			_, err := c.Call(t.Context(), target, httpCall(http.MethodPost, "book"))
 			e := errorOf(t, err)
 			require.Equal(t, tc.kind, e.Kind)
 			require.Equal(t, tc.sent, e.Sent)
@@ -106,13 +106,14 @@
 	require.Empty(t, s.Records())
 }
 
-// TestNothingIsWrittenAfterNotSent ends calls at random points and checks that a call said not to be sent never arrives.
+// TestNothingIsWrittenAfterNotSent cancels calls at varying times and checks that a call reported as not sent never
+// reaches the server.
 func TestNothingIsWrittenAfterNotSent(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s"})
 	c := newClient(t, openai.Options{})
 	notSent := map[string]bool{}
 	for i := range 300 {
-		call := service(http.MethodPost, "book")
+		call := httpCall(http.MethodPost, "book")
 		call.AttemptID = "a-" + strings.Repeat("x", i)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Duration(i)*2*time.Microsecond)
 		_, err := c.Call(ctx, s.Target(), call)
@@ -123,12 +124,12 @@
 	}
 	require.NotEmpty(t, notSent)
 	for _, r := range s.Records() {
-		require.False(t, notSent[r.Attempt], "ran though said not to be sent")
+		require.False(t, notSent[r.Attempt], "call ran although it was reported as not sent")
 	}
 }
 
-// TestBrokenConnectionIsNotReplayed breaks a kept connection after it took a call: the transport must not send it
-// again by itself, whatever the method.
+// TestBrokenConnectionIsNotReplayed breaks a reused connection after the server received a call. http.Transport must
+// not resend the call on its own, whatever its method.
 func TestBrokenConnectionIsNotReplayed(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete} {
 		t.Run(method, func(t *testing.T) {
@@ -141,9 +142,9 @@
 			defer srv.Close()
 			target := engine.Target{Server: "s", Address: srv.Listener.Addr().String()}
 			c := newClient(t, openai.Options{})
-			_, err := c.Call(t.Context(), target, service(method, ""))
+			_, err := c.Call(t.Context(), target, httpCall(method, ""))
 			require.NoError(t, err)
-			_, err = c.Call(t.Context(), target, service(method, ""))
+			_, err = c.Call(t.Context(), target, httpCall(method, ""))
 			e := errorOf(t, err)
 			require.True(t, e.Sent)
 			require.Equal(t, engine.Crashed, e.Kind)
@@ -152,7 +153,7 @@
 	}
 }
 
-func TestOldConnectionIsNotUsedAgain(t *testing.T) {
+func TestOldConnectionIsNotReused(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s"})
 	var dials atomic.Int64
 	c := newClient(t, openai.Options{
@@ -163,18 +164,18 @@
 		},
 	})
 	for range 3 {
-		_, err := c.Call(t.Context(), s.Target(), service(http.MethodPost, "book"))
-		// Every connection is above this age, a new one too, so the call fails unsent.
+		_, err := c.Call(t.Context(), s.Target(), httpCall(http.MethodPost, "book"))
+		// Even a new connection exceeds this maximum age, so the call fails without being sent.
 		require.False(t, errorOf(t, err).Sent)
 	}
 	require.Empty(t, s.Records())
 	require.Greater(t, dials.Load(), int64(3))
 }
 
-// pipes is a network in memory, whose waits virtual time can pass over.
-type pipes chan net.Conn
+// pipeNetwork is an in-memory listener and dialer, so that waits on it let the virtual time of synctest advance.
+type pipeNetwork chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeNetwork) Accept() (net.Conn, error) {
 	conn, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
@@ -182,10 +183,10 @@
 	return conn, nil
 }
 
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeNetwork) Close() error   { return nil }
+func (p pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p pipeNetwork) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	p <- far
 	return near, nil
@@ -193,7 +194,7 @@
 
 func TestSilentServerAndSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := make(pipes)
+		network := make(pipeNetwork)
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			if r.URL.Path != openai.PathChat {
@@ -211,15 +212,15 @@
 		c := openai.New(openai.Options{ProgressTimeout: time.Second, Dial: network.dial})
 		target := engine.Target{Server: "s", Address: "10.0.0.1:1"}
 		began := time.Now()
-		_, err := c.Call(t.Context(), target, service(http.MethodPost, "book"))
+		_, err := c.Call(t.Context(), target, httpCall(http.MethodPost, "book"))
 		e := errorOf(t, err)
 		require.Equal(t, engine.Silent, e.Kind)
 		require.True(t, e.Sent)
 		require.Equal(t, time.Second, time.Since(began))
 
-		st, err := c.Stream(t.Context(), target, chat("q"))
+		st, err := c.Stream(t.Context(), target, chatCall("q"))
 		require.NoError(t, err)
-		time.Sleep(time.Minute) // the reader is slow, not the server
+		time.Sleep(time.Minute) // a slow reader must not trigger the progress timeout
 		ev, err := st.Next(t.Context())
 		require.NoError(t, err)
 		require.Equal(t, "a", ev.Text)
@@ -233,7 +234,7 @@
 	})
 }
 
-func TestProbeTellsTheKindsOfDeathApart(t *testing.T) {
+func TestProbeErrorKinds(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s"})
 	c := newClient(t, openai.Options{ProgressTimeout: 50 * time.Millisecond})
 	target := s.Target()
@@ -241,16 +242,16 @@
 	s.Crash()
 	require.Equal(t, engine.Refused, errorOf(t, c.Probe(t.Context(), target)).Kind)
 	require.NoError(t, s.Start())
-	require.Equal(t, engine.Crashed, errorOf(t, c.Probe(t.Context(), target)).Kind, "another incarnation")
+	require.Equal(t, engine.Crashed, errorOf(t, c.Probe(t.Context(), target)).Kind, "server restarted as another incarnation")
 
-	deaf, err := net.Listen("tcp", "127.0.0.1:0")
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = deaf.Close() }()
-	target.Address = deaf.Addr().String()
+	defer func() { _ = silent.Close() }()
+	target.Address = silent.Addr().String()
 	require.Equal(t, engine.Silent, errorOf(t, c.Probe(t.Context(), target)).Kind)
 }
 
-func TestCloseDelimitedBodyIsNotTakenForWhole(t *testing.T) {
+func TestTruncatedCloseDelimitedBody(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
@@ -264,6 +265,6 @@
 		_ = conn.Close()
 	}()
 	c := newClient(t, openai.Options{})
-	_, err = c.Call(t.Context(), engine.Target{Server: "s", Address: l.Addr().String()}, service(http.MethodPost, "book"))
+	_, err = c.Call(t.Context(), engine.Target{Server: "s", Address: l.Addr().String()}, httpCall(http.MethodPost, "book"))
 	require.Equal(t, engine.Truncated, errorOf(t, err).Kind)
 }
--- a/pkg/executor/handover_latency_test.go
+++ b/pkg/executor/handover_latency_test.go
@@ -60,7 +60,7 @@
 		if s := f.tryAcquire(r.Role); s != nil {
 			return s, nil
 		}
-		if r.Spare {
+		if r.SpareOnly {
 			return nil, apierr.New(503, apierr.NoCapacity, "no spare capacity")
 		}
 		select {
--- a/pkg/executor/machine.go
+++ b/pkg/executor/machine.go
@@ -181,7 +181,7 @@
 	}
 	if ev.Index >= 0 && ev.Index < len(m.tokens) {
 		if m.tokens[ev.Index] != ev.Text {
-			m.failStream(now, id, engine.Crossed)
+			m.failStream(now, id, engine.WrongAttempt)
 			return m.takeActions()
 		}
 		m.dropped++
--- a/pkg/executor/sim_test.go
+++ b/pkg/executor/sim_test.go
@@ -150,7 +150,7 @@
 		case <-ctx.Done():
 			return nil, apierr.New(503, apierr.NoCapacity, "context ended while waiting for a slot")
 		}
-		if r.Spare && r.Role != "" && (refuse || w.noServerFree(r)) {
+		if r.SpareOnly && r.Role != "" && (refuse || w.noServerFree(r)) {
 			return nil, apierr.New(503, apierr.NoCapacity, "no spare capacity")
 		}
 		if refuse && first {
--- a/pkg/ledger/ledger_test.go
+++ b/pkg/ledger/ledger_test.go
@@ -13,7 +13,7 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict. A seed on the command line stands.
+// TestMain sets a fixed default seed for rapid, so that runs are reproducible. A seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261204"); err != nil {
 		panic(err)
@@ -37,33 +37,35 @@
 	maxBodies = 30
 )
 
-// run is one grant of a key, as an oracle that never forgets keeps it.
-type run struct {
+// grantedClaim is the oracle's record of one granted claim.
+type grantedClaim struct {
 	claim    *daisyhatchv1.ClaimCommand
 	accepted int64
 	timed    bool
 	state    daisyhatchv1.ClaimState
 	outcome  []byte
-	// doubted is true once another incarnation of the holder was heard.
-	doubted bool
+	// superseded is true once another incarnation of the holder has made a claim.
+	superseded bool
 }
 
+// oracle is a reference model of the ledger that never drops a claim.
 type oracle struct {
-	runs    map[Key]*run
-	process map[string]string
-	now     int64
+	claims map[Key]*grantedClaim
+	// incarnation is the latest incarnation of each holder.
+	incarnation map[string]string
+	now         int64
 }
 
-// expect returns the state that a recorded key must be answered with.
-func (o *oracle) expect(r *run, c *daisyhatchv1.ClaimCommand) daisyhatchv1.ClaimState {
+// expect returns the state that the ledger must return for claim c of a recorded key.
+func (o *oracle) expect(r *grantedClaim, c *daisyhatchv1.ClaimCommand) daisyhatchv1.ClaimState {
 	if r.claim.GetBodyHash() != c.GetBodyHash() {
 		return reused
 	}
 	if r.state != pending {
 		return r.state
 	}
-	given := min(max(r.claim.GetDeadlineUnixMs()-r.accepted, MinRunMs), MaxRunMs)
-	if o.now > r.accepted+given+DeadlineMarginMs || o.process[r.claim.GetHolder()] != r.claim.GetIncarnation() {
+	runLimit := min(max(r.claim.GetDeadlineUnixMs()-r.accepted, MinRunMs), MaxRunMs)
+	if o.now > r.accepted+runLimit+DeadlineMarginMs || o.incarnation[r.claim.GetHolder()] != r.claim.GetIncarnation() {
 		return unknown
 	}
 	if r.claim.GetHolder() == c.GetHolder() && r.claim.GetAttempt() == c.GetAttempt() {
@@ -72,22 +74,24 @@
 	return pending
 }
 
-// running reports whether a run's holder may still be at it.
-func (o *oracle) running(r *run) bool { return !r.doubted && o.expect(r, r.claim) == granted }
+// running reports whether the holder of a granted claim may still be running the request.
+func (o *oracle) running(r *grantedClaim) bool {
+	return !r.superseded && o.expect(r, r.claim) == granted
+}
 
-func (o *oracle) hear(holder, process string) {
-	o.process[holder] = process
-	for _, r := range o.runs {
-		if r.claim.GetHolder() == holder && r.claim.GetIncarnation() != process {
-			r.doubted = true
+func (o *oracle) noteIncarnation(holder, incarnation string) {
+	o.incarnation[holder] = incarnation
+	for _, r := range o.claims {
+		if r.claim.GetHolder() == holder && r.claim.GetIncarnation() != incarnation {
+			r.superseded = true
 		}
 	}
 }
 
 func (o *oracle) checkClaim(t *rapid.T, l *Ledger, c *daisyhatchv1.ClaimCommand) {
-	o.hear(c.GetHolder(), c.GetIncarnation())
+	o.noteIncarnation(c.GetHolder(), c.GetIncarnation())
 	k := Key{c.GetOrganisation(), c.GetKey()}
-	old := o.runs[k]
+	old := o.claims[k]
 	before := l.Len()
 	got, err := l.Claim(c, o.now)
 	require.NoError(t, err)
@@ -105,37 +109,37 @@
 		}
 	case got.GetState() == granted && old != nil && o.expect(old, c) == granted && recorded && l.claims[k.id()].accepted == old.accepted:
 	case got.GetState() == granted:
-		require.False(t, old != nil && (old.timed || age < RetentionMs), "key %v ran twice", k)
+		require.False(t, old != nil && (old.timed || age < RetentionMs), "key %v was granted twice", k)
 		created := c.GetCreatedUnixMs()
-		o.runs[k] = &run{claim: c, accepted: o.now, timed: created > 0 && created <= o.now+ClockSlackMs, state: pending}
+		o.claims[k] = &grantedClaim{claim: c, accepted: o.now, timed: created > 0 && created <= o.now+ClockSlackMs, state: pending}
 	case got.GetState() == full:
 		require.GreaterOrEqual(t, before, maxClaims)
 	case got.GetState() == expired:
 		require.Positive(t, c.GetCreatedUnixMs())
 		require.LessOrEqual(t, c.GetCreatedUnixMs(), o.now-MinRetentionMs+ClockSlackMs)
 	default:
-		require.Fail(t, "unexpected state", "%v for key %v", got.GetState(), k)
+		require.Fail(t, "unexpected state", "state %v for key %v", got.GetState(), k)
 	}
 }
 
 func (o *oracle) checkComplete(t *rapid.T, l *Ledger, c *daisyhatchv1.CompleteCommand) {
 	k := Key{c.GetOrganisation(), c.GetKey()}
-	r := o.runs[k]
+	r := o.claims[k]
 	got, err := l.Complete(c, o.now)
 	require.NoError(t, err)
-	own := r != nil && r.claim.GetHolder() == c.GetHolder() && r.claim.GetIncarnation() == c.GetIncarnation() &&
+	byHolder := r != nil && r.claim.GetHolder() == c.GetHolder() && r.claim.GetIncarnation() == c.GetIncarnation() &&
 		r.claim.GetAttempt() == c.GetAttempt()
-	if !own {
-		require.False(t, got.GetStored(), "another holder ended the claim")
+	if !byHolder {
+		require.False(t, got.GetStored(), "claim was completed by another holder")
 	}
 	if !got.GetStored() {
-		require.False(t, own && r.state == pending && o.now-r.accepted < MinRetentionMs, "the holder's end was not stored")
+		require.False(t, byHolder && r.state == pending && o.now-r.accepted < MinRetentionMs, "completion by the holder was not stored")
 		return
 	}
 	switch {
 	case c.GetNotRun():
-		require.Equal(t, pending, r.state, "a claim that ended was removed")
-		delete(o.runs, k)
+		require.Equal(t, pending, r.state, "a completed claim was removed")
+		delete(o.claims, k)
 	case r.state == done:
 	case c.GetUnknown():
 		r.state = unknown
@@ -156,10 +160,10 @@
 		Attempt:        fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "attempt")),
 		DeadlineUnixMs: o.now + rapid.SampledFrom([]int64{-9000, 0, 5000, 10 * MaxRunMs}).Draw(t, "deadline"),
 	}
-	// Odd keys tell when they were made; a resend tells the same time.
+	// Odd keys have a creation time, which stays the same when the claim is repeated.
 	if k%2 == 1 {
 		c.CreatedUnixMs = max(1, o.now-rapid.SampledFrom([]int64{0, 1000, MinRetentionMs, -MinRunMs}).Draw(t, "age"))
-		if old := o.runs[Key{"org", c.GetKey()}]; old != nil {
+		if old := o.claims[Key{"org", c.GetKey()}]; old != nil {
 			c.CreatedUnixMs = old.claim.GetCreatedUnixMs()
 		}
 	}
@@ -168,7 +172,7 @@
 
 func drawComplete(t *rapid.T, o *oracle) *daisyhatchv1.CompleteCommand {
 	c := &daisyhatchv1.CompleteCommand{Organisation: "org", Key: fmt.Sprint(rapid.IntRange(0, 13).Draw(t, "key"))}
-	if r := o.runs[Key{"org", c.GetKey()}]; r != nil {
+	if r := o.claims[Key{"org", c.GetKey()}]; r != nil {
 		c.Holder, c.Incarnation, c.Attempt = r.claim.GetHolder(), r.claim.GetIncarnation(), r.claim.GetAttempt()
 	}
 	switch rapid.IntRange(0, 9).Draw(t, "stranger") {
@@ -190,12 +194,13 @@
 	return c
 }
 
-// Claims and ends from several VMs, restarts, forgetting: no key is granted twice while its time of creation is known
-// or its retention lasts, and recorded keys are answered as by an oracle that never forgets.
+// TestAgainstOracle compares the ledger with a reference model under random claims and completions from several VMs,
+// restarts of holders, snapshot restores and dropped claims. No key may be granted twice within its retention, or ever
+// if its creation time is known, and recorded keys must have the state that the model expects.
 func TestAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := small(New())
-		o := &oracle{runs: make(map[Key]*run), process: make(map[string]string), now: 10 * RetentionMs}
+		l := withSmallLimits(New())
+		o := &oracle{claims: make(map[Key]*grantedClaim), incarnation: make(map[string]string), now: 10 * RetentionMs}
 		for range rapid.IntRange(50, 250).Draw(t, "steps") {
 			o.now += rapid.SampledFrom([]int64{0, 0, 500, 3000, MinRetentionMs / 2, MinRetentionMs}).Draw(t, "pass")
 			if rapid.IntRange(0, 30).Draw(t, "long pass") == 30 {
@@ -207,7 +212,7 @@
 				o.checkComplete(t, l, drawComplete(t, o))
 			}
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
-				l = reload(t, l)
+				l = restoreFromSnapshot(t, l)
 			}
 			require.LessOrEqual(t, l.Len(), maxClaims)
 			require.LessOrEqual(t, l.BodyBytes(), maxBodies)
@@ -215,13 +220,13 @@
 	})
 }
 
-func small(l *Ledger) *Ledger {
+func withSmallLimits(l *Ledger) *Ledger {
 	l.maxClaims = maxClaims
 	l.maxBodies = maxBodies
 	return l
 }
 
-func reload(t *rapid.T, l *Ledger) *Ledger {
+func restoreFromSnapshot(t *rapid.T, l *Ledger) *Ledger {
 	data, err := proto.Marshal(l.Snapshot())
 	require.NoError(t, err)
 	s := &daisyhatchv1.LedgerSnapshot{}
@@ -230,10 +235,10 @@
 	require.NoError(t, err)
 	require.Equal(t, l.bodyBytes, n.bodyBytes)
 	require.Equal(t, l.timed.Len(), n.timed.Len())
-	return small(n)
+	return withSmallLimits(n)
 }
 
-func TestLargeAnswerIsOmitted(t *testing.T) {
+func TestLargeBodyIsOmitted(t *testing.T) {
 	l := New()
 	c := &daisyhatchv1.ClaimCommand{Organisation: "o", Key: "k", Holder: "e", Incarnation: "1", Attempt: "a"}
 	_, err := l.Claim(c, 1)
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -91,8 +91,8 @@
 }
 
 // Acquire implements dispatch.Slots. It refuses a call at once when its predicted wait exceeds its deadline, and a
-// spare call (SlotRequest.Spare) when it would have to wait. A queued call that will probably miss its deadline is
-// refused when other calls wait behind it.
+// spare call (SlotRequest.SpareOnly) when it would have to wait. A queued call that will probably miss its deadline
+// is refused when other calls wait behind it.
 func (s *Slots) Acquire(ctx context.Context, r dispatch.SlotRequest) (dispatch.Slot, error) {
 	s.mu.Lock()
 	if s.stopped {
@@ -108,7 +108,7 @@
 			return sl, nil
 		}
 	}
-	if r.Spare {
+	if r.SpareOnly {
 		s.mu.Unlock()
 		return nil, refusal(r.Pool, "has no free slot for a spare call", 0)
 	}
