--- a/pkg/engine/openai/openai_test.go
+++ b/pkg/engine/openai/openai_test.go
@@ -26,14 +26,14 @@
 	return s
 }
 
-func chat(question string) engine.Call {
+func chatCall(question string) engine.Call {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"messages":[{"role":"user","content":%q}]}`, question)
 	return engine.Call{AttemptID: "a-1", Operation: engine.Chat, Body: []byte(body)}
 }
 
 var errNegative = errors.New("negative index")
 
-// readAll reads a stream to its end. It fails when the stream ends without a mark.
+// readAll returns the text of a stream. It fails when the stream ends without an end marker.
 func readAll(ctx context.Context, s engine.Stream) (string, error) {
 	defer func() { _ = s.Close() }()
 	var text strings.Builder
@@ -52,25 +52,25 @@
 	}
 	_, err := s.Next(ctx)
 	if !errors.Is(err, io.EOF) {
-		return text.String(), fmt.Errorf("after the end: %w", err)
+		return text.String(), fmt.Errorf("expected io.EOF after the end of the stream: %w", err)
 	}
 	return text.String(), nil
 }
 
-func TestStockServerStreams(t *testing.T) {
+func TestStreamFromUnmodifiedServer(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s", Stock: true, Tokens: 5})
 	c := newClient(t, openai.Options{})
-	st, err := c.Stream(t.Context(), s.Target(), chat("q"))
+	st, err := c.Stream(t.Context(), s.Target(), chatCall("q"))
 	require.NoError(t, err)
 	text, err := readAll(t.Context(), st)
 	require.NoError(t, err)
 	require.Equal(t, standin.AnswerText("q", 5), text)
 }
 
-func TestResumedStreamStartsWhereItWasCut(t *testing.T) {
+func TestResumedStreamContinuesAtToken(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s", Tokens: 5})
 	c := newClient(t, openai.Options{})
-	call := chat("q")
+	call := chatCall("q")
 	call.ResumeFrom = 3
 	call.ResumeText = standin.AnswerText("q", 3)
 	st, err := c.Stream(t.Context(), s.Target(), call)
@@ -91,13 +91,13 @@
 		{standin.FaultTruncate, engine.Truncated},
 		{standin.FaultCrashMidStream, engine.Truncated},
 		{standin.FaultSilentMidStream, engine.Silent},
-		{standin.FaultCross, engine.Crossed},
+		{standin.FaultCross, engine.WrongAttempt},
 	} {
 		t.Run(standin.FaultNames[tc.fault], func(t *testing.T) {
 			s := startServer(t, standin.Options{Name: "s"})
 			s.SetFault(tc.fault, 1)
 			c := newClient(t, openai.Options{ProgressTimeout: 100 * time.Millisecond})
-			st, err := c.Stream(t.Context(), s.Target(), chat("q"))
+			st, err := c.Stream(t.Context(), s.Target(), chatCall("q"))
 			if err == nil {
 				_, err = readAll(t.Context(), st)
 			}
@@ -108,16 +108,16 @@
 	}
 }
 
-func TestMissingAttemptIDOfAServerThatEchoesIt(t *testing.T) {
+func TestMissingAttemptIDIsRejected(t *testing.T) {
 	s := startServer(t, standin.Options{Name: "s", Stock: true})
 	c := newClient(t, openai.Options{})
 	target := s.Target()
 	target.Capabilities = []string{openai.CapabilityAttemptID}
-	_, err := c.Call(t.Context(), target, service(http.MethodPost, "book"))
-	require.Equal(t, engine.Crossed, errorOf(t, err).Kind)
+	_, err := c.Call(t.Context(), target, httpCall(http.MethodPost, "book"))
+	require.Equal(t, engine.WrongAttempt, errorOf(t, err).Kind)
 }
 
-func TestStatusesAreClassed(t *testing.T) {
+func TestErrorKindByStatus(t *testing.T) {
 	for status, kind := range map[int]engine.Kind{
 		http.StatusTooManyRequests:     engine.Overloaded,
 		http.StatusServiceUnavailable:  engine.Overloaded,
@@ -130,7 +130,7 @@
 			w.WriteHeader(status)
 		}))
 		c := newClient(t, openai.Options{})
-		_, err := c.Call(t.Context(), engine.Target{Server: "s", Address: srv.Listener.Addr().String()}, chat("q"))
+		_, err := c.Call(t.Context(), engine.Target{Server: "s", Address: srv.Listener.Addr().String()}, chatCall("q"))
 		e := errorOf(t, err)
 		require.Equal(t, kind, e.Kind, "status %d", status)
 		require.Equal(t, 7*time.Second, e.RetryAfter)
@@ -158,18 +158,18 @@
 
 	var calls []engine.Call
 	for i := range 3 {
-		calls = append(calls, chat(strings.Repeat(fmt.Sprint(i), engine.PrefixBlock)))
+		calls = append(calls, chatCall(strings.Repeat(fmt.Sprint(i), engine.PrefixBlock)))
 		_, err = c.Call(ctx, target, calls[i])
-		require.Error(t, err, "a stream is not one JSON value")
+		require.Error(t, err, "a streamed response is not a single JSON value")
 	}
 	page, err := c.CacheEvents(ctx, target, 0, 10)
 	require.NoError(t, err)
 	require.Len(t, page.Events, 2)
-	require.Equal(t, uint64(3), page.Events[1].Sequence, "the gap shows")
-	require.Equal(t, engine.PrefixBlocks(calls[2].Body), page.Events[1].Stored, "both sides name blocks alike")
+	require.Equal(t, uint64(3), page.Events[1].Sequence, "the gap in sequence numbers is preserved")
+	require.Equal(t, engine.PrefixBlocks(calls[2].Body), page.Events[1].Stored, "server and client compute the same block hashes")
 	page, err = c.CacheEvents(ctx, target, 0, 1)
 	require.NoError(t, err)
-	require.Equal(t, uint64(3), page.Events[0].Sequence, "the newest ones come")
+	require.Equal(t, uint64(3), page.Events[0].Sequence, "the newest events are returned")
 	require.Positive(t, page.Bytes)
 
 	require.NoError(t, c.Cancel(ctx, target, "unknown"))
@@ -179,7 +179,8 @@
 	require.Equal(t, "cache", string(data))
 }
 
-// FuzzStream feeds any bytes as a stream: the client must end with the end mark or an error, and never go on for good.
+// FuzzStream feeds arbitrary bytes as a stream: the client must stop with the end marker or an error and never loop
+// forever.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: {\"id\":\"x\",\"choices\":[]}\n\ndata: {\"id\":\"y\"}\n\n"))
@@ -195,7 +196,7 @@
 	target := engine.Target{Server: "s", Address: srv.Listener.Addr().String()}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		answer = data
-		st, err := c.Stream(t.Context(), target, chat("q"))
+		st, err := c.Stream(t.Context(), target, chatCall("q"))
 		require.NoError(t, err)
 		_, err = readAll(t.Context(), st)
 		if err == nil {
--- a/pkg/grantservice/lease_renewal_test.go
+++ b/pkg/grantservice/lease_renewal_test.go
@@ -34,7 +34,7 @@
 		require.Equal(t, "c1", m.Lease(grant.LeaseName(0)).GetHolder(), "a lease that is renewed must not be taken over")
 		first.cancel()
 		<-first.done
-		time.Sleep(grant.LeaseTTL - grant.Renew)
+		time.Sleep(grant.LeaseTTL - grant.RenewInterval)
 		require.Equal(t, "c1", m.Lease(grant.LeaseName(0)).GetHolder(), "the lease was taken over before it expired")
 		time.Sleep(30 * time.Second)
 		require.Equal(t, "c2", m.Lease(grant.LeaseName(0)).GetHolder())
--- a/pkg/ledger/outcome.go
+++ b/pkg/ledger/outcome.go
@@ -7,10 +7,10 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// maxContentTypes is the count of content types that claims share one copy of.
+// maxContentTypes is the maximum number of interned content types.
 const maxContentTypes = 64
 
-// outcome is a stored answer, smaller than its message.
+// outcome is a stored response. It takes less memory than its protobuf message.
 type outcome struct {
 	status      int32
 	omitted     bool
@@ -18,16 +18,17 @@
 	body        []byte
 }
 
-func (l *Ledger) outcome(m *daisyhatchv1.StoredOutcome) *outcome {
+func (l *Ledger) newOutcome(m *daisyhatchv1.StoredOutcome) *outcome {
 	return &outcome{
 		status:      m.GetStatus(),
 		omitted:     m.GetBodyOmitted(),
-		contentType: l.contentType(m.GetContentType()),
+		contentType: l.internContentType(m.GetContentType()),
 		body:        bytes.Clone(m.GetBody()),
 	}
 }
 
-func (l *Ledger) contentType(s string) string {
+// internContentType returns the interned copy of s.
+func (l *Ledger) internContentType(s string) string {
 	if known, ok := l.contentTypes[s]; ok {
 		return known
 	}
@@ -38,7 +39,7 @@
 	return s
 }
 
-func (o *outcome) message() *daisyhatchv1.StoredOutcome {
+func (o *outcome) toProto() *daisyhatchv1.StoredOutcome {
 	if o == nil {
 		return nil
 	}
--- a/pkg/ledger/snapshot.go
+++ b/pkg/ledger/snapshot.go
@@ -8,21 +8,22 @@
 	daisyhatchv1 "github.com/daisyhatch/daisyhatch/gen/daisyhatch/v1"
 )
 
-// Snapshot returns the state. The caller must encode it before the next command.
+// Snapshot returns the state as a message. The message shares memory with the ledger, so the caller must encode it
+// before the next command.
 func (l *Ledger) Snapshot() *daisyhatchv1.LedgerSnapshot {
-	s := &daisyhatchv1.LedgerSnapshot{WatermarkUnixMs: l.watermark, BodySequence: l.bodyNumber}
-	places := make(map[*process]uint32, len(l.processes))
+	s := &daisyhatchv1.LedgerSnapshot{WatermarkUnixMs: l.watermark, BodySequence: l.bodySequence}
+	processIndex := make(map[*process]uint32, len(l.processes))
 	for i, p := range l.sortedProcesses() {
-		places[p] = uint32(i)
+		processIndex[p] = uint32(i)
 		s.Processes = append(s.Processes, &daisyhatchv1.HolderProcess{
 			Holder: p.holder, Incarnation: p.incarnation, Latest: p.latest,
 		})
 	}
 	for e := l.timed.Front(); e != nil; e = e.Next() {
-		s.Claims = append(s.Claims, encode(e.Value.(*claim), places))
+		s.Claims = append(s.Claims, encodeClaim(e.Value.(*claim), processIndex))
 	}
 	for e := l.untimed.Front(); e != nil; e = e.Next() {
-		s.Claims = append(s.Claims, encode(e.Value.(*claim), places))
+		s.Claims = append(s.Claims, encodeClaim(e.Value.(*claim), processIndex))
 	}
 	return s
 }
@@ -38,32 +39,32 @@
 	return out
 }
 
-func encode(c *claim, places map[*process]uint32) *daisyhatchv1.ClaimRecord {
+func encodeClaim(c *claim, processIndex map[*process]uint32) *daisyhatchv1.ClaimRecord {
 	return &daisyhatchv1.ClaimRecord{
 		Id:             c.id[:],
 		BodyHash:       c.bodyHash,
-		Process:        places[c.process],
+		Process:        processIndex[c.process],
 		Attempt:        c.attempt,
 		DeadlineUnixMs: c.deadline,
 		CreatedUnixMs:  c.created,
 		AcceptedUnixMs: c.accepted,
 		State:          c.state,
-		Outcome:        c.outcome.message(),
-		BodySequence:   c.bodyNumber,
+		Outcome:        c.outcome.toProto(),
+		BodySequence:   c.bodySequence,
 	}
 }
 
-// Restore returns the Ledger of a snapshot. It returns ErrSnapshot when the snapshot contradicts itself.
+// Restore builds a Ledger from a snapshot. It returns ErrSnapshot if the snapshot is inconsistent.
 func Restore(s *daisyhatchv1.LedgerSnapshot) (*Ledger, error) {
 	l := New()
 	l.watermark = s.GetWatermarkUnixMs()
-	l.bodyNumber = s.GetBodySequence()
+	l.bodySequence = s.GetBodySequence()
 	if len(s.GetClaims()) > MaxClaims {
-		return nil, fmt.Errorf("%w: %d claims", ErrSnapshot, len(s.GetClaims()))
+		return nil, fmt.Errorf("%w: %d claims exceed the limit", ErrSnapshot, len(s.GetClaims()))
 	}
 	processes := make([]*process, len(s.GetProcesses()))
 	for i, p := range s.GetProcesses() {
-		processes[i] = l.process(p.GetHolder(), p.GetIncarnation())
+		processes[i] = l.processOf(p.GetHolder(), p.GetIncarnation())
 		processes[i].latest = p.GetLatest()
 	}
 	for _, r := range s.GetClaims() {
@@ -84,11 +85,11 @@
 
 func (l *Ledger) restoreClaim(r *daisyhatchv1.ClaimRecord, processes []*process) error {
 	if len(r.GetId()) != len(id{}) || int(r.GetProcess()) >= len(processes) {
-		return fmt.Errorf("%w: a claim without ID or process", ErrSnapshot)
+		return fmt.Errorf("%w: claim with invalid ID or process index", ErrSnapshot)
 	}
 	key := id(r.GetId())
 	if _, ok := l.claims[key]; ok {
-		return fmt.Errorf("%w: a key twice", ErrSnapshot)
+		return fmt.Errorf("%w: duplicate claim ID", ErrSnapshot)
 	}
 	c := &claim{
 		id:       key,
@@ -100,13 +101,13 @@
 		state:    r.GetState(),
 	}
 	if r.GetOutcome() != nil {
-		c.outcome = l.outcome(r.GetOutcome())
+		c.outcome = l.newOutcome(r.GetOutcome())
 	}
 	l.insert(c, processes[r.GetProcess()])
 	return nil
 }
 
-// restoreBodies puts the stored answers in the order of their completion.
+// restoreBodies adds the claims with a stored body to l.bodies in the order of their completion.
 func (l *Ledger) restoreBodies(claims []*daisyhatchv1.ClaimRecord) error {
 	var withBody []*daisyhatchv1.ClaimRecord
 	for _, r := range claims {
@@ -120,9 +121,9 @@
 	for _, r := range withBody {
 		c := l.claims[id(r.GetId())]
 		if c.outcome == nil {
-			return fmt.Errorf("%w: a body without outcome", ErrSnapshot)
+			return fmt.Errorf("%w: body sequence without outcome", ErrSnapshot)
 		}
-		l.keepBody(c, r.GetBodySequence())
+		l.addBody(c, r.GetBodySequence())
 	}
 	return nil
 }
--- a/pkg/slots/outcome_test.go
+++ b/pkg/slots/outcome_test.go
@@ -34,7 +34,7 @@
 // TestPartialCallReportsNoLatency keeps the two parts of a handed-over call out of the latency comparison within the
 // pool.
 func TestPartialCallReportsNoLatency(t *testing.T) {
-	r := dispatch.Report{FirstToken: time.Second, Total: time.Minute, Part: true}
+	r := dispatch.Report{FirstToken: time.Second, Total: time.Minute, Partial: true}
 	require.Zero(t, latency(r))
 	require.Zero(t, outcome(r).FirstToken)
 	require.True(t, outcome(r).OK)
--- a/pkg/slots/requests.go
+++ b/pkg/slots/requests.go
@@ -31,7 +31,7 @@
 )
 
 // AskInterval returns the regular interval between two requests to the same grantor, for the given number of grantors.
-func AskInterval(grantors int) time.Duration { return scaledInterval(grant.Renew, grantors) }
+func AskInterval(grantors int) time.Duration { return scaledInterval(grant.RenewInterval, grantors) }
 
 // scaledInterval lengthens an interval when there are more than maxUnscaledGrantors grantors.
 func scaledInterval(d time.Duration, grantors int) time.Duration {
@@ -114,7 +114,7 @@
 // run sends requests to the grantors at the current interval and whenever wake is called.
 func (s *Slots) run(ctx context.Context) {
 	defer s.done.Done()
-	decayAt := time.Now().Add(grant.Renew)
+	decayAt := time.Now().Add(grant.RenewInterval)
 	for {
 		select {
 		case <-ctx.Done():
@@ -123,8 +123,8 @@
 		case <-s.wakeup:
 		}
 		if now := time.Now(); !now.Before(decayAt) {
-			periods := 1 + int(now.Sub(decayAt)/grant.Renew)
-			decayAt = now.Add(grant.Renew)
+			periods := 1 + int(now.Sub(decayAt)/grant.RenewInterval)
+			decayAt = now.Add(grant.RenewInterval)
 			s.decay(periods)
 		}
 		s.askAll(ctx)
@@ -142,9 +142,9 @@
 	grantors := len(s.grantors())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := grant.Renew
+	d := grant.RenewInterval
 	if time.Now().Before(s.contendedUntil) {
-		d = grant.RenewContended
+		d = grant.ContendedRenewInterval
 	}
 	for _, p := range s.pools {
 		if p.queue.Len()+p.aloneQueue.Len() > 0 {
@@ -154,7 +154,7 @@
 	return scaledInterval(d, grantors)
 }
 
-// decay lowers the peak demand of each pool for the given number of grant.Renew periods and drops the routing state of
+// decay lowers the peak demand of each pool for the given number of grant.RenewInterval periods and drops the routing state of
 // servers that are not held any more.
 func (s *Slots) decay(periods int) {
 	s.mu.Lock()
@@ -204,7 +204,7 @@
 	defer s.mu.Unlock()
 	s.pending[address] = false
 	if connect.CodeOf(err) == connect.CodeFailedPrecondition {
-		s.holder.Forget(address)
+		s.holder.EndSession(address)
 		s.wake()
 		return
 	}
@@ -221,8 +221,8 @@
 	if !s.holder.Apply(address, out, now) {
 		return
 	}
-	if out.RenewMs > 0 && out.RenewMs < grant.Renew.Milliseconds() {
-		s.contendedUntil = now.Add(grant.Renew)
+	if out.RenewMs > 0 && out.RenewMs < grant.RenewInterval.Milliseconds() {
+		s.contendedUntil = now.Add(grant.RenewInterval)
 	}
 	for _, d := range demands {
 		if d.Units > 0 {
@@ -255,14 +255,14 @@
 	address, ok := s.opts.Grantors(grant.ShardOf(a.GetServer()))
 	if !ok {
 		return apierr.New(http.StatusServiceUnavailable, apierr.NotReady,
-			"no control VM grants slots on this server yet").After(grant.AnnounceEvery)
+			"no control VM grants slots on this server yet").After(grant.BaseAnnounceInterval)
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	_, err := s.client(address).Announce(ctx, connect.NewRequest(&daisyhatchv1.AnnounceRequest{Announcement: a}))
 	if err != nil {
 		return apierr.New(http.StatusServiceUnavailable, apierr.NotReady,
-			"the announcement could not be forwarded to its control VM").After(grant.AnnounceEvery).Wrap(err)
+			"the announcement could not be forwarded to its control VM").After(grant.BaseAnnounceInterval).Wrap(err)
 	}
 	return nil
 }
--- a/pkg/slots/slot.go
+++ b/pkg/slots/slot.go
@@ -84,7 +84,7 @@
 func latency(r dispatch.Report) routing.Latency {
 	var e *engine.Error
 	switch {
-	case r.Part:
+	case r.Partial:
 		return routing.Latency{}
 	case r.FirstToken > 0:
 		return routing.Latency{Time: r.FirstToken}
@@ -99,7 +99,7 @@
 // outcome converts a call's report for the grant holder.
 func outcome(r dispatch.Report) grant.Outcome {
 	o := grant.Outcome{OK: r.Err == nil, FirstToken: r.FirstToken, Neutral: r.Abandoned}
-	if r.Part {
+	if r.Partial {
 		o.FirstToken = 0
 	}
 	var e *engine.Error
@@ -139,7 +139,7 @@
 func (s *Slots) Noticed(t engine.Target, n holdoff.Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holder.Noticed(t.Server, t.Incarnation, n, time.Now()) {
+	if s.holder.RecordNotice(t.Server, t.Incarnation, n, time.Now()) {
 		s.opts.Logger.Info("server wants no more calls", "server", t.Server, "incarnation", t.Incarnation, "leaving", n.Leaving,
 			"wait_ms", n.Wait.Milliseconds())
 	}
